--- a/internal/sidecar/calls.go
+++ b/internal/sidecar/calls.go
@@ -14,10 +14,10 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// errBusy means that too many calls wait for the duty.
+// errBusy is returned when too many calls wait for the event loop.
 var errBusy = errors.New("too many calls wait")
 
-// Handlers are the methods that entries call.
+// Handlers returns the RPC methods that entries call.
 func (s *Sidecar) Handlers() map[string]rpc.Handler {
 	return map[string]rpc.Handler{
 		wire.MethodStartAdmit: rpc.Typed(s.admit),
@@ -27,7 +27,7 @@
 	}
 }
 
-func (s *Sidecar) submit(call func(*duty)) error {
+func (s *Sidecar) submit(call func(*loop)) error {
 	select {
 	case s.calls <- call:
 		return nil
@@ -38,7 +38,7 @@
 
 func (s *Sidecar) admit(ctx context.Context, in wire.StartRequest) (wire.StartReply, error) {
 	reply := make(chan wire.StartReply, 1)
-	err := s.submit(func(d *duty) { d.admit(in, reply) })
+	err := s.submit(func(l *loop) { l.admit(in, reply) })
 	if err != nil {
 		return wire.StartReply{}, err
 	}
@@ -46,115 +46,116 @@
 	case r := <-reply:
 		return r, nil
 	case <-ctx.Done():
-		_ = s.submit(func(d *duty) { d.end(in.ID, in.Try) })
+		_ = s.submit(func(l *loop) { l.release(in.ID, in.Try) })
 		return wire.StartReply{}, ctx.Err()
 	}
 }
 
-// unknownEngine refuses a start because the engine has not reported.
-const unknownEngine = "engine_unknown"
+// reasonEngineUnknown is the reason for refusing a start when the engine has not reported.
+const reasonEngineUnknown = "engine_unknown"
 
-func (d *duty) admit(in wire.StartRequest, reply chan<- wire.StartReply) {
-	if d.service == nil || !d.known {
-		reply <- wire.StartReply{Reason: unknownEngine}
+func (l *loop) admit(in wire.StartRequest, reply chan<- wire.StartReply) {
+	if l.service == nil || !l.known {
+		reply <- wire.StartReply{Reason: reasonEngineUnknown}
 		return
 	}
 	now := time.Now()
-	if before, known := d.tries[in.ID]; known {
-		d.end(in.ID, before)
+	if before, known := l.tries[in.ID]; known {
+		l.release(in.ID, before)
 	}
-	d.waiters[in.ID], d.tries[in.ID] = reply, in.Try
+	l.waiters[in.ID], l.tries[in.ID] = reply, in.Try
 	if in.Version > 0 {
-		d.perform(d.table.Named(in.Adapter, in.Version, now))
+		l.perform(l.table.Named(in.Adapter, in.Version, now))
 	}
 	parts := make([]residency.Part, 0, len(in.Parts))
 	for _, part := range in.Parts {
 		parts = append(parts, residency.Part(part))
 	}
-	d.perform(d.table.Admit(residency.Request{
+	l.perform(l.table.Admit(residency.Request{
 		Parts: parts, Target: now.Add(time.Duration(in.TargetMillis) * time.Millisecond),
 		ID: in.ID, Adapter: in.Adapter, Rank: in.Rank, Prompt: in.Prompt, Tokens: in.Tokens, Latest: now.Add(time.Duration(in.WaitMillis) * time.Millisecond),
 	}, now))
 }
 
-// cancelled refuses a start that is not wanted any more.
-const cancelled = "cancelled"
+// reasonCancelled is the reason for refusing a start that is no longer wanted.
+const reasonCancelled = "cancelled"
 
-// end lets go of a start. The end of an earlier try may arrive behind the next
-// one, which may be at the same agent when its engine has restarted: it must
-// not take the next one's hold on its adapter.
-func (d *duty) end(id string, try int) {
-	if held, known := d.tries[id]; !known || held != try {
+// release ends a start. The end of an earlier try may arrive after the next try, which can be
+// at the same agent when its engine has restarted; it must not release the next try's hold on
+// its adapter.
+func (l *loop) release(id string, try int) {
+	if current, known := l.tries[id]; !known || current != try {
 		return
 	}
-	delete(d.tries, id)
-	d.answer(id, wire.StartReply{Reason: cancelled})
-	d.perform(d.table.Cancel(id, time.Now()))
+	delete(l.tries, id)
+	l.answer(id, wire.StartReply{Reason: reasonCancelled})
+	l.perform(l.table.Cancel(id, time.Now()))
 }
 
 func (s *Sidecar) done(_ context.Context, in wire.StartDone) (wire.Empty, error) {
-	return wire.Empty{}, s.submit(func(d *duty) {
+	return wire.Empty{}, s.submit(func(l *loop) {
 		if in.PauseMillis > 0 {
-			d.table.Paused(time.Duration(in.PauseMillis)*time.Millisecond, time.Duration(in.AllowedMillis)*time.Millisecond)
+			l.table.Paused(time.Duration(in.PauseMillis)*time.Millisecond, time.Duration(in.AllowedMillis)*time.Millisecond)
 		}
-		d.end(in.ID, in.Try)
+		l.release(in.ID, in.Try)
 	})
 }
 
 func (s *Sidecar) begun(_ context.Context, in wire.StartDone) (wire.Empty, error) {
 	now := time.Now()
-	return wire.Empty{}, s.submit(func(d *duty) {
-		if d.tries[in.ID] == in.Try {
-			d.table.Begun(in.ID, now)
+	return wire.Empty{}, s.submit(func(l *loop) {
+		if l.tries[in.ID] == in.Try {
+			l.table.Begun(in.ID, now)
 		}
 	})
 }
 
-// delayStep rounds the delay that entries see, so that it does not change with
-// every millisecond.
+// delayStep is the step to which the published delay is rounded, so that the state does not
+// change every millisecond.
 const delayStep = 20 * time.Millisecond
 
-// untilLoaded is how long an adapter that is asked for now would take to come.
-func (d *duty) untilLoaded() time.Duration {
-	before := d.table.LoadBacklog() / loadsAtOnce
-	return time.Duration(before+1) * d.loadTime
+// expectedLoadTime returns the time that the load of an adapter would take if it were requested
+// now.
+func (l *loop) expectedLoadTime() time.Duration {
+	rounds := l.table.LoadBacklog() / maxConcurrentLoads
+	return time.Duration(rounds+1) * l.loadTime
 }
 
-func delays(of [residency.Ranks]time.Duration) []int64 {
-	rounded := make([]int64, 0, len(of))
-	for _, d := range of {
+func delays(ranks [residency.Ranks]time.Duration) []int64 {
+	rounded := make([]int64, 0, len(ranks))
+	for _, d := range ranks {
 		rounded = append(rounded, d.Round(delayStep).Milliseconds())
 	}
 	return rounded
 }
 
-// publish shows entries the present state.
-func (d *duty) publish() {
+// publish makes the current state visible to entries.
+func (l *loop) publish() {
 	now := time.Now()
-	held, stale := d.table.Held(now)
+	held, stale := l.table.Held(now)
 	state := wire.EngineState{
-		Known: d.known && d.service != nil, Leaving: d.report.Leaving,
-		Running: d.table.Running(), Waiting: d.table.Waiting(), Tokens: d.table.Tokens(),
-		DelayMillis: delays(d.table.Delay(now)), PromptMillis: d.table.PromptCost().Round(delayStep / 4).Milliseconds(),
-		LoadMillis: d.untilLoaded().Round(delayStep).Milliseconds(),
-		Models:     d.report.Models, Held: held, Stale: stale,
-	}
-	if d.service != nil {
-		state.Batch, state.MemoryTokens = d.service.Engine.Batch, d.service.Engine.MemoryTokens
-	}
-	d.state.set(state)
-	if now.Sub(d.summed) >= summaryInterval {
-		d.summed = now
-		d.log.Info("engine", zap.Bool("known", state.Known), zap.Bool("leaving", state.Leaving), zap.Int("running", state.Running), zap.Int("waiting", state.Waiting),
+		Known: l.known && l.service != nil, Leaving: l.report.Leaving,
+		Running: l.table.Running(), Waiting: l.table.Waiting(), Tokens: l.table.Tokens(),
+		DelayMillis: delays(l.table.Delay(now)), PromptMillis: l.table.PromptCost().Round(delayStep / 4).Milliseconds(),
+		LoadMillis: l.expectedLoadTime().Round(delayStep).Milliseconds(),
+		Models:     l.report.Models, Held: held, Stale: stale,
+	}
+	if l.service != nil {
+		state.Batch, state.MemoryTokens = l.service.Engine.Batch, l.service.Engine.MemoryTokens
+	}
+	l.state.set(state)
+	if now.Sub(l.lastSummary) >= summaryInterval {
+		l.lastSummary = now
+		l.log.Info("engine", zap.Bool("known", state.Known), zap.Bool("leaving", state.Leaving), zap.Int("running", state.Running), zap.Int("waiting", state.Waiting),
 			zap.Int("tokens", state.Tokens), zap.Int("held", len(held)), zap.Int("stale", len(stale)), zap.Int64s("delayMillis", state.DelayMillis), zap.Int64("promptMillis", state.PromptMillis),
-			zap.Int("orders", len(d.orders)), zap.Int("engineRunning", d.report.Running), zap.Int("engineWaiting", d.report.Waiting), zap.Int64("sequence", d.sequence))
+			zap.Int("orders", len(l.orders)), zap.Int("engineRunning", l.report.Running), zap.Int("engineWaiting", l.report.Waiting), zap.Int64("sequence", l.sequence))
 	}
 }
 
-// summaryInterval is the pause between two lines that sum up the engine.
+// summaryInterval is the interval between two log lines that summarize the engine.
 const summaryInterval = 4 * time.Second
 
-// stateCell holds the newest state and wakes those who wait for a change.
+// stateCell holds the latest state and wakes those that wait for a change.
 type stateCell struct {
 	mu      sync.Mutex
 	state   wire.EngineState
--- a/internal/sidecar/engine.go
+++ b/internal/sidecar/engine.go
@@ -1,43 +1,43 @@
-// Package sidecar is the agent beside an engine whose requests pass it by. It
-// owns the engine's adapter slots and gives it all its orders, keeps the queue
-// of requests that ask to start, and tells entries how the engine stands.
+// Package sidecar implements the agent beside an engine. The engine's requests bypass the
+// agent. The agent manages the engine's adapter slots and gives the engine all its orders,
+// keeps the queue of requests that wait for a start, and publishes the engine's state to
+// entries.
 //
-// One duty owns the state; the calls of entries reach it through a bounded
-// ring. When the ring is full a call is refused, which an entry takes for an
-// agent that cannot be reached.
+// One event loop owns the state; the calls of entries reach it through a bounded queue. When
+// the queue is full, a call is refused, and the entry treats the agent as unreachable.
 package sidecar
 
 import "context"
 
 // Engine is the engine beside the agent.
 type Engine interface {
-	// Report asks for the engine's present state.
+	// Report returns the engine's current state.
 	Report(ctx context.Context) (Report, error)
 	// Order gives an order; the result says how far it got.
 	Order(ctx context.Context, order Order) (OrderResult, error)
 }
 
-// Report is what an engine says of itself.
+// Report is the state that an engine reports.
 type Report struct {
-	// Born tells incarnations apart, in Unix milliseconds; 0 when unknown.
+	// Born identifies the incarnation, in Unix milliseconds; 0 when unknown.
 	Born int64
-	// Sequence counts the orders that it has accepted.
+	// Sequence counts the orders that the engine has accepted.
 	Sequence int64
-	// Busy is true while it carries out an order that others wait for.
+	// Busy is set while the engine carries out an order that blocks others.
 	Busy bool
-	// Leaving is true when it takes no new work.
+	// Leaving is set when the engine takes no new work.
 	Leaving bool
-	// Models are the base models that it holds.
+	// Models are the base models that the engine holds.
 	Models []string
-	// OnDisk are the base models of which it keeps a copy.
+	// OnDisk are the base models of which the engine keeps a copy on disk.
 	OnDisk []string
-	// Adapters are those held, as model/adapter, with their versions, and
-	// Coming those on their way.
+	// Adapters are the adapters held, as model/adapter, with their versions; Coming are those
+	// being loaded.
 	Adapters map[string]int64
 	Coming   map[string]int64
-	// Runs are the ids of the requests that it runs.
+	// Runs are the IDs of the running requests.
 	Runs []string
-	// Running and Waiting count requests; Used and Total are tokens of memory.
+	// Running and Waiting count requests; Used and Total are memory in tokens.
 	Running int
 	Waiting int
 	Used    int
@@ -46,35 +46,35 @@
 
 // Order is one order to an engine.
 type Order struct {
-	// Load is false for an unload.
+	// Load selects a load; false means an unload.
 	Load bool
-	// Model is the base model; Adapter is empty when the model itself is meant.
+	// Model is the base model; Adapter is empty for an order about the model itself.
 	Model   string
 	Adapter string
-	// Version is the adapter's, 0 for the newest.
+	// Version is the version of the adapter; 0 means the newest.
 	Version int64
-	// Sequence is what the engine's count must be: an order that is carried out
-	// late, behind newer ones, is then void.
+	// Sequence is the order count that the engine must have. An order that arrives late, after
+	// newer ones, is then rejected.
 	Sequence int64
-	// Holder and Token name the orderer and its fencing number.
+	// Holder is the name of the agent that gives the order, Token its fencing number.
 	Holder string
 	Token  int64
 }
 
-// OrderResult is the fate of an order.
+// OrderResult is the outcome of an order.
 type OrderResult uint8
 
 const (
-	// OrderUnknown orders got no answer, and may yet be carried out.
+	// OrderUnknown means that the order was not answered and may still be carried out.
 	OrderUnknown OrderResult = iota
-	// OrderAccepted orders are under way.
+	// OrderAccepted means that the order is in progress.
 	OrderAccepted
-	// OrderDone orders hold already.
+	// OrderDone means that the ordered state is already reached.
 	OrderDone
-	// OrderConflict orders met another order or another count.
+	// OrderConflict means that another order was in progress or that the order count differed.
 	OrderConflict
-	// OrderFenced orders had a fencing number that is too low.
+	// OrderFenced means that the order's fencing number was too low.
 	OrderFenced
-	// OrderRefused orders cannot be carried out.
+	// OrderRefused means that the order cannot be carried out.
 	OrderRefused
 )
--- a/internal/sidecar/orders.go
+++ b/internal/sidecar/orders.go
@@ -13,137 +13,138 @@
 	"github.com/rosemarypass/rosemarypass/internal/wait"
 )
 
-// provideModel loads a base model into an engine that holds none: one that was
-// added, or that restarted.
-func (d *duty) provideModel(ctx context.Context, now time.Time) {
-	if len(d.report.Models) > 0 || d.report.Busy || d.report.Leaving || len(d.orders) > 0 || d.ordering {
-		d.emptySince = time.Time{}
+// ensureModel loads a base model into an engine that holds none because it was just added or
+// has restarted.
+func (l *loop) ensureModel(ctx context.Context, now time.Time) {
+	if len(l.report.Models) > 0 || l.report.Busy || l.report.Leaving || len(l.orders) > 0 || l.orderPending {
+		l.emptySince = time.Time{}
 		return
 	}
-	if d.emptySince.IsZero() {
-		d.emptySince = now
+	if l.emptySince.IsZero() {
+		l.emptySince = now
 	}
-	if d.asking || now.Before(d.askAgain) {
+	if l.permitPending || now.Before(l.nextPermitAt) {
 		return
 	}
-	if model := d.modelAtOnce(); model != "" {
-		d.permitted = ""
-		d.orders = append(d.orders, Order{Load: true, Model: model})
+	if model := l.modelToLoad(); model != "" {
+		l.permittedModel = ""
+		l.orders = append(l.orders, Order{Load: true, Model: model})
 		return
 	}
-	if d.service != nil && len(d.service.Engine.Models) > 0 {
-		d.askPermit(ctx)
+	if l.service != nil && len(l.service.Engine.Models) > 0 {
+		l.requestPermit(ctx)
 	}
 }
 
-// modelAtOnce is the model that can be loaded without asking: the one that was
-// permitted, and the only one there is when the engine keeps a copy of it. That
-// does not wait for the configuration: after a loss of power it comes later.
-func (d *duty) modelAtOnce() string {
+// modelToLoad returns the model that can be loaded without asking for a permit: the one that
+// was permitted, or the only one there is when the engine keeps a copy of it. The latter does
+// not wait for the configuration, which arrives later after a power loss.
+func (l *loop) modelToLoad() string {
 	switch {
-	case d.permitted != "":
-		return d.permitted
-	case d.service == nil:
-		if len(d.report.OnDisk) == 1 {
-			return d.report.OnDisk[0]
+	case l.permittedModel != "":
+		return l.permittedModel
+	case l.service == nil:
+		if len(l.report.OnDisk) == 1 {
+			return l.report.OnDisk[0]
 		}
 		return ""
-	case len(d.service.Engine.Models) == 1 || d.options.Permit == nil && len(d.service.Engine.Models) > 0:
-		only := d.service.Engine.Models[0].Name
-		if d.options.Permit == nil || slices.Contains(d.report.OnDisk, only) {
+	case len(l.service.Engine.Models) == 1 || l.options.Permit == nil && len(l.service.Engine.Models) > 0:
+		only := l.service.Engine.Models[0].Name
+		if l.options.Permit == nil || slices.Contains(l.report.OnDisk, only) {
 			return only
 		}
 	}
 	return ""
 }
 
-// permitTries are the questions for a permit while it is not given: engines that
-// have lost their models together all ask the same leader, and the store gives them
-// one after the other.
-var permitTries = backoff.Options{First: idlePoll / 2, Most: 2 * time.Second}
+// permitBackoff is the backoff of permit requests that are not granted. Engines that have lost
+// their models at the same time all ask the same leader, and the store serves them one after
+// the other.
+var permitBackoff = backoff.Options{First: idlePoll / 2, Most: 2 * time.Second}
 
-// orderTries are the tries at an order that gets no answer, from the beginning of one
-// to that of the next.
-var orderTries = backoff.Options{First: orderTimeout, Most: 500 * time.Millisecond}
+// orderBackoff is the backoff of an order that is not answered, measured from the start of one
+// try to the start of the next.
+var orderBackoff = backoff.Options{First: orderTimeout, Most: 500 * time.Millisecond}
 
-// askPermit asks beside the duty; the answer comes through the ring of calls.
-func (d *duty) askPermit(ctx context.Context) {
-	d.asking = true
-	since, onDisk := d.emptySince, slices.Clone(d.report.OnDisk)
-	d.askAgain = time.Now().Add(permitTries.Pause(time.Since(since), 0, rand.Float64()))
+// requestPermit requests a permit outside the event loop; the reply arrives through the queue
+// of calls.
+func (l *loop) requestPermit(ctx context.Context) {
+	l.permitPending = true
+	since, onDisk := l.emptySince, slices.Clone(l.report.OnDisk)
+	l.nextPermitAt = time.Now().Add(permitBackoff.Pause(time.Since(since), 0, rand.Float64()))
 	go func() {
-		model := d.options.Permit(ctx, d.options.Service, onDisk, since)
-		_ = d.submit(func(d *duty) { d.asking, d.permitted = false, model })
+		model := l.options.Permit(ctx, l.options.Service, onDisk, since)
+		_ = l.submit(func(l *loop) { l.permitPending, l.permittedModel = false, model })
 	}()
 }
 
-// giveOrder gives the next order, one at a time: each names the count that the
-// one before leaves.
-func (d *duty) giveOrder(ctx context.Context) {
-	if d.ordering || !d.known {
+// sendNextOrder sends the next order. Only one order is pending at a time, because each names
+// the order count that the previous one leaves.
+func (l *loop) sendNextOrder(ctx context.Context) {
+	if l.orderPending || !l.known {
 		return
 	}
 	var order Order
 	switch {
-	case d.unanswered != nil:
-		// Until a newer order is accepted the unanswered one may still be carried
-		// out; the same order again settles both.
-		order = *d.unanswered
-	case len(d.orders) > 0:
-		order = d.orders[0]
-		d.orders = d.orders[1:]
+	case l.unanswered != nil:
+		// Until a newer order is accepted, the unanswered one may still be carried out. Sending
+		// the same order again settles both.
+		order = *l.unanswered
+	case len(l.orders) > 0:
+		order = l.orders[0]
+		l.orders = l.orders[1:]
 	default:
 		return
 	}
-	order.Sequence, order.Holder, order.Token = d.sequence, d.options.Name, d.token
-	d.unanswered, d.ordering = nil, true
-	began := time.Now()
-	again := began.Add(orderTries.Pause(d.silence.Failed(began), 0, 0))
+	order.Sequence, order.Holder, order.Token = l.sequence, l.options.Name, l.token
+	l.unanswered, l.orderPending = nil, true
+	sentAt := time.Now()
+	retryAt := sentAt.Add(orderBackoff.Pause(l.orderFailures.Failed(sentAt), 0, 0))
 	go func() {
-		limited, cancel := context.WithTimeout(ctx, orderTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 		defer cancel()
-		result, err := d.engine.Order(limited, order)
+		result, err := l.engine.Order(callCtx, order)
 		if result == OrderUnknown {
-			// No report may come between this order and its repetition: that must name the
-			// same count, so that only one of the two holds.
-			_ = wait.For(ctx, time.Until(again))
+			// No report may be processed between this order and its repetition: both must name
+			// the same order count, so that only one of them takes effect.
+			_ = wait.For(ctx, time.Until(retryAt))
 		}
-		d.results <- ordered{order: order, result: result, err: err}
+		l.orderReplies <- orderReply{order: order, result: result, err: err}
 	}()
 }
 
-// finish takes the result of an order.
-func (d *duty) finish(r ordered) {
+// handleOrderReply processes the result of an order.
+func (l *loop) handleOrderReply(r orderReply) {
 	order, now := r.order, time.Now()
-	d.log.Info("order", zap.Bool("load", order.Load), zap.String("model", order.Model), zap.String("adapter", order.Adapter), zap.Int64("version", order.Version),
+	l.log.Info("order", zap.Bool("load", order.Load), zap.String("model", order.Model), zap.String("adapter", order.Adapter), zap.Int64("version", order.Version),
 		zap.Int64("sequence", order.Sequence), zap.Uint8("result", uint8(r.result)), telemetry.Cause(r.err))
 	name := order.Model + "/" + order.Adapter
 	if r.result != OrderUnknown {
-		d.silence.Over()
+		l.orderFailures.Over()
 	}
 	switch r.result {
 	case OrderAccepted, OrderDone:
 		if r.result == OrderAccepted || !order.Load {
-			d.sequence++
+			l.sequence++
 		}
 		if order.Load && r.result == OrderAccepted && order.Adapter != "" {
-			d.ordered[name] = orderedLoad{at: now, near: d.kept.Near(name)}
+			l.loads[name] = pendingLoad{at: now, cached: l.cached.Near(name)}
 		}
 		if !order.Load && r.result == OrderDone {
-			d.perform(d.table.Unloaded(name, now))
+			l.perform(l.table.Unloaded(name, now))
 		}
 		return
 	case OrderUnknown:
-		if order.Sequence >= d.sequence {
-			d.unanswered = &order
+		if order.Sequence >= l.sequence {
+			l.unanswered = &order
 		}
 		return
 	case OrderFenced:
-		d.token += fenceStep
+		l.token += fenceStep
 	}
-	d.perform(d.table.Ordered(name, false, now))
+	l.perform(l.table.Ordered(name, false, now))
 }
 
-// fenceStep raises the fencing number past one that an earlier start of this
-// agent used under a clock that ran ahead.
+// fenceStep raises the fencing number past one that an earlier run of this agent used under a
+// clock that was ahead.
 const fenceStep = 1 << 32
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -18,44 +18,46 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// Options describe the agent.
+// Options configures the agent.
 type Options struct {
-	// Name is the holder of all orders.
+	// Name is the holder named in all orders.
 	Name string
-	// Service is the engine's.
+	// Service is the service of the engine.
 	Service string
-	// VersionGrace is how long an outdated adapter may still be started; a part
-	// of the time in which a named version must be in force.
+	// VersionGrace is how long requests may still start on an outdated adapter. It is part of
+	// the time within which a newly named version must be in force.
 	VersionGrace time.Duration
-	// Permit asks which model an engine that holds none may load, empty when it
-	// must ask again; onDisk are those of which it keeps a copy, since is when the
-	// asking began. Without it none is asked for.
+	// Permit asks which model an engine that holds none may load; empty means that it must ask
+	// again. onDisk are the models of which it keeps a copy, since is the time at which it
+	// began to ask. If Permit is nil, no permit is needed.
 	Permit func(ctx context.Context, service string, onDisk []string, since time.Time) string
 }
 
 const (
-	// busyPoll and idlePoll are the pauses between reports. The engine is on
-	// the same machine: a report is fresh and costs it nothing.
+	// busyPoll and idlePoll are the intervals between reports. The engine runs on the same
+	// machine, so a report is up to date and costs the engine nothing.
 	busyPoll = 50 * time.Millisecond
 	idlePoll = 200 * time.Millisecond
-	// reportTimeout bounds a report.
+	// reportTimeout limits the time for a report.
 	reportTimeout = 500 * time.Millisecond
-	// orderTimeout bounds an order's answer, which comes at once: an engine that
-	// has not answered by then may carry the order out seconds later.
+	// orderTimeout limits the time for the answer to an order, which the engine sends
+	// immediately. An engine that has not answered by then may carry out the order seconds
+	// later.
 	orderTimeout = 60 * time.Millisecond
-	// callRing bounds the calls that wait for the duty.
-	callRing = 1024
-	// maxQueue bounds the requests that wait for a start, as a multiple of the
-	// batch: more could not start before their callers give up.
-	maxQueue = 8
-	// loadsAtOnce is how many adapters are on their way to one engine. The store
-	// gives all engines the same in sum beyond its knee, where one after the other
-	// would bring the first ones sooner; below it two come in the time of one.
-	loadsAtOnce = 2
-	// guessedLoad stands for the time of a load until one was seen.
-	guessedLoad = 280 * time.Millisecond
-	// loadWeight is the weight of the newest load in their usual time.
-	loadWeight = 0.4
+	// callQueueSize limits the number of calls that wait for the event loop.
+	callQueueSize = 1024
+	// queuePerBatch limits the number of requests that wait for a start, as a multiple of the
+	// batch size; more requests could not start before their callers give up.
+	queuePerBatch = 8
+	// maxConcurrentLoads is the number of adapters that one engine loads at the same time.
+	// Beyond the saturation point of the store, its total throughput is constant and loading
+	// one after the other would bring the first adapters sooner; below that point two loads
+	// take the time of one.
+	maxConcurrentLoads = 2
+	// initialLoadTime is the assumed load time until a load has been measured.
+	initialLoadTime = 280 * time.Millisecond
+	// loadTimeWeight is the weight of the latest load in the moving average of the load time.
+	loadTimeWeight = 0.4
 )
 
 // Sidecar is the agent.
@@ -64,255 +66,256 @@
 	engine    Engine
 	documents *mesh.Documents
 	log       *zap.Logger
-	calls     chan func(*duty)
+	calls     chan func(*loop)
 	state     stateCell
 }
 
 // New returns an agent; Run starts it.
 func New(options Options, engine Engine, documents *mesh.Documents, log *zap.Logger) *Sidecar {
-	return &Sidecar{options: options, engine: engine, documents: documents, log: log, calls: make(chan func(*duty), callRing), state: newStateCell()}
+	return &Sidecar{options: options, engine: engine, documents: documents, log: log, calls: make(chan func(*loop), callQueueSize), state: newStateCell()}
 }
 
-// duty owns the state.
-type duty struct {
+// loop owns the state of the agent.
+type loop struct {
 	*Sidecar
-	table    *residency.Table
-	service  *route.Service
-	index    uint64
-	report   Report
-	known    bool
-	sequence int64
-	token    int64
-	waiters  map[string]chan<- wire.StartReply
-	// tries are the tries that hold a start or wait for one, by request.
+	table       *residency.Table
+	service     *route.Service
+	configIndex uint64
+	report      Report
+	known       bool
+	sequence    int64
+	token       int64
+	waiters     map[string]chan<- wire.StartReply
+	// tries holds the try of each request that has a start or waits for one, by request ID.
 	tries  map[string]int
 	orders []Order
-	// unanswered is the order whose fate is unknown.
+	// unanswered is the order with an unknown outcome.
 	unanswered *Order
-	// silence is how long orders have had no answer.
-	silence backoff.Trouble
-	// Reports and orders are asked for beside the duty, one of each at a time:
-	// an engine that does not answer must not hold up the starts of requests.
-	reports  chan reported
-	results  chan ordered
-	ordering bool
-	// ordered are the loads under way.
-	ordered map[string]orderedLoad
-	// loadTime is what loads from the store took lately, kept what the engine keeps
-	// in its own memory.
+	// orderFailures tracks how long orders have gone unanswered.
+	orderFailures backoff.Trouble
+	// Reports and orders are sent outside the event loop, one of each at a time: an engine that
+	// does not answer must not delay the starts of requests.
+	reports      chan reportResult
+	orderReplies chan orderReply
+	orderPending bool
+	// loads are the loads in progress.
+	loads map[string]pendingLoad
+	// loadTime is the moving average of recent loads from the store. cached records the
+	// adapters that the engine keeps in its own memory.
 	loadTime time.Duration
-	kept     dispatch.Held
-	// emptySince is since when the engine holds no model; asking is true while a
-	// permit to load one is asked for, permitted is the model that it named.
-	emptySince time.Time
-	asking     bool
-	permitted  string
-	// askAgain is when a permit may be asked for again.
-	askAgain time.Time
-	// summed is when the engine was last summed up in the log.
-	summed time.Time
+	cached   dispatch.Held
+	// emptySince is the time since which the engine has held no model. permitPending is set
+	// while a permit to load one is requested; permittedModel is the model that the permit
+	// named.
+	emptySince     time.Time
+	permitPending  bool
+	permittedModel string
+	// nextPermitAt is the earliest time for the next permit request.
+	nextPermitAt time.Time
+	// lastSummary is the time of the last summary in the log.
+	lastSummary time.Time
 }
 
-// orderedLoad is a load that the engine has accepted.
-type orderedLoad struct {
+// pendingLoad is a load that the engine has accepted.
+type pendingLoad struct {
 	at time.Time
-	// near is true for one from the engine's own memory.
-	near bool
+	// cached is set for a load from the engine's own memory.
+	cached bool
 }
 
-// reported is the result of a report, ordered that of an order.
-type reported struct {
-	asked  time.Time
+// reportResult is the result of a report, orderReply that of an order.
+type reportResult struct {
+	sentAt time.Time
 	report Report
 	err    error
 }
 
-type ordered struct {
+type orderReply struct {
 	order  Order
 	result OrderResult
 	err    error
 }
 
-// Run works until ctx ends.
+// Run runs the agent until ctx ends.
 func (s *Sidecar) Run(ctx context.Context) {
-	d := &duty{
+	l := &loop{
 		Sidecar: s, token: time.Now().UnixMilli(), waiters: make(map[string]chan<- wire.StartReply), tries: make(map[string]int),
 		table:   residency.New(residency.Options{Queue: 1}),
-		reports: make(chan reported, 1), results: make(chan ordered, 1), ordered: make(map[string]orderedLoad), loadTime: guessedLoad,
+		reports: make(chan reportResult, 1), orderReplies: make(chan orderReply, 1), loads: make(map[string]pendingLoad), loadTime: initialLoadTime,
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	turn := time.NewTimer(idlePoll)
-	defer turn.Stop()
+	tick := time.NewTimer(idlePoll)
+	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case call := <-s.calls:
-			call(d)
+			call(l)
 		case <-s.documents.Changed():
-			d.configure(time.Now())
+			l.configure(time.Now())
 		case <-timer.C:
-			go d.ask(ctx)
-		case r := <-d.reports:
-			d.take(ctx, r)
-			timer.Reset(d.pause())
-		case r := <-d.results:
-			d.ordering = false
-			d.finish(r)
-		case <-turn.C:
-			d.perform(d.table.Tick(time.Now()))
+			go l.requestReport(ctx)
+		case r := <-l.reports:
+			l.handleReport(ctx, r)
+			timer.Reset(l.pollInterval())
+		case r := <-l.orderReplies:
+			l.orderPending = false
+			l.handleOrderReply(r)
+		case <-tick.C:
+			l.perform(l.table.Tick(time.Now()))
 		}
-		if next := d.table.Next(); !next.IsZero() {
-			turn.Reset(max(time.Until(next), time.Millisecond))
+		if next := l.table.Next(); !next.IsZero() {
+			tick.Reset(max(time.Until(next), time.Millisecond))
 		}
-		d.giveOrder(ctx)
-		d.publish()
+		l.sendNextOrder(ctx)
+		l.publish()
 	}
 }
 
-func (d *duty) pause() time.Duration {
-	if d.table.Waiting() > 0 || d.table.Running() > 0 {
+func (l *loop) pollInterval() time.Duration {
+	if l.table.Waiting() > 0 || l.table.Running() > 0 {
 		return busyPoll
 	}
 	return idlePoll
 }
 
-// configure takes what the configuration says of the engine and its adapters.
-func (d *duty) configure(now time.Time) {
-	current := d.documents.Current()
-	if !current.Usable() || current.State.Index == d.index {
+// configure applies the configuration of the engine and its adapters.
+func (l *loop) configure(now time.Time) {
+	current := l.documents.Current()
+	if !current.Usable() || current.State.Index == l.configIndex {
 		return
 	}
-	d.index = current.State.Index
-	d.setOptions(current.Table)
+	l.configIndex = current.State.Index
+	l.setOptions(current.Table)
 	for adapter, version := range current.State.Adapters {
-		d.perform(d.table.Named(adapter, version, now))
+		l.perform(l.table.Named(adapter, version, now))
 	}
 }
 
-// setOptions tells the table what the engine is, and what the store bears.
-func (d *duty) setOptions(table *route.Table) {
-	service := table.Service(d.options.Service)
+// setOptions passes the limits of the engine and of loads from the store to the table.
+func (l *loop) setOptions(table *route.Table) {
+	service := table.Service(l.options.Service)
 	if service != nil && service.Engine != nil {
-		d.service = service
-		d.table.SetOptions(residency.Options{
+		l.service = service
+		l.table.SetOptions(residency.Options{
 			Places: service.Engine.AdapterSlots, Batch: service.Engine.Batch, MemoryTokens: service.Engine.MemoryTokens,
-			Loads: loadsAtOnce, Queue: maxQueue * service.Engine.Batch, Grace: d.options.VersionGrace,
+			Loads: maxConcurrentLoads, Queue: queuePerBatch * service.Engine.Batch, Grace: l.options.VersionGrace,
 		})
 	}
 }
 
-// ask asks the engine for its report.
-func (d *duty) ask(ctx context.Context) {
+// requestReport requests the engine's report.
+func (l *loop) requestReport(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	asked := time.Now()
-	report, err := d.engine.Report(ctx)
-	d.reports <- reported{asked: asked, report: report, err: err}
+	sentAt := time.Now()
+	report, err := l.engine.Report(ctx)
+	l.reports <- reportResult{sentAt: sentAt, report: report, err: err}
 }
 
-// take takes the engine's report.
-func (d *duty) take(ctx context.Context, r reported) {
+// handleReport processes the engine's report.
+func (l *loop) handleReport(ctx context.Context, r reportResult) {
 	report, now := r.report, time.Now()
 	if r.err != nil {
-		if d.known {
-			d.log.Warn("the engine does not report", telemetry.Cause(r.err))
-			d.known = false
+		if l.known {
+			l.log.Warn("engine report failed", telemetry.Cause(r.err))
+			l.known = false
 		}
-		d.perform(d.table.Tick(now))
+		l.perform(l.table.Tick(now))
 		return
 	}
-	d.configure(now)
-	d.noteRestart(report)
-	if !d.known {
-		d.log.Info("the engine reports", zap.Int64("born", report.Born), zap.Strings("models", report.Models), zap.Int64("sequence", report.Sequence))
+	l.configure(now)
+	l.detectRestart(report)
+	if !l.known {
+		l.log.Info("the engine reports", zap.Int64("born", report.Born), zap.Strings("models", report.Models), zap.Int64("sequence", report.Sequence))
 	}
-	d.report, d.known = report, true
-	d.noteLoaded(now)
-	d.kept.Take(slices.Collect(maps.Keys(report.Adapters)))
-	d.forgetTries()
-	if !d.ordering {
-		d.sequence = report.Sequence
+	l.report, l.known = report, true
+	l.recordLoads(now)
+	l.cached.Take(slices.Collect(maps.Keys(report.Adapters)))
+	l.dropEndedTries()
+	if !l.orderPending {
+		l.sequence = report.Sequence
 	}
 	if report.Leaving {
-		d.perform(d.table.Leave())
+		l.perform(l.table.Leave())
 	}
 	runs := make(map[string]bool, len(report.Runs))
 	for _, id := range report.Runs {
 		runs[id] = true
 	}
-	d.perform(d.table.Take(residency.Report{Held: report.Adapters, Coming: report.Coming, Runs: runs, Waiting: report.Waiting, Asked: r.asked}, now))
-	d.provideModel(ctx, now)
+	l.perform(l.table.Take(residency.Report{Held: report.Adapters, Coming: report.Coming, Runs: runs, Waiting: report.Waiting, Asked: r.sentAt}, now))
+	l.ensureModel(ctx, now)
 }
 
-// loadLatency is what loads of adapters took.
+// loadLatency is the latency of adapter loads.
 var loadLatency = telemetry.LatencyOf("sidecar_load_millis")
 
-// noteLoaded logs how long the adapters that are there now took.
-func (d *duty) noteLoaded(now time.Time) {
-	for name, load := range d.ordered {
-		if _, held := d.report.Adapters[name]; !held {
+// recordLoads records and logs the duration of the loads that have completed.
+func (l *loop) recordLoads(now time.Time) {
+	for name, load := range l.loads {
+		if _, held := l.report.Adapters[name]; !held {
 			continue
 		}
-		delete(d.ordered, name)
+		delete(l.loads, name)
 		took := now.Sub(load.at)
-		if !load.near {
-			d.loadTime += time.Duration(loadWeight * float64(took-d.loadTime))
+		if !load.cached {
+			l.loadTime += time.Duration(loadTimeWeight * float64(took-l.loadTime))
 		}
 		loadLatency.Record(took)
-		d.log.Info("adapter loaded", zap.String("adapter", name), zap.Duration("took", took), zap.Bool("near", load.near), zap.Int("coming", len(d.report.Coming)), zap.Int("waiting", d.table.Waiting()))
+		l.log.Info("adapter loaded", zap.String("adapter", name), zap.Duration("took", took), zap.Bool("near", load.cached), zap.Int("coming", len(l.report.Coming)), zap.Int("waiting", l.table.Waiting()))
 	}
 }
 
-// forgetTries drops the tries of requests whose end was never told.
-func (d *duty) forgetTries() {
-	for id := range d.tries {
-		if d.waiters[id] == nil && !d.table.Started(id) {
-			delete(d.tries, id)
+// dropEndedTries removes the tries of requests whose end was not reported to the agent.
+func (l *loop) dropEndedTries() {
+	for id := range l.tries {
+		if l.waiters[id] == nil && !l.table.Started(id) {
+			delete(l.tries, id)
 		}
 	}
 }
 
-// noteRestart forgets the state of an earlier incarnation.
-func (d *duty) noteRestart(report Report) {
-	if !d.known && d.report.Born == 0 {
+// detectRestart discards the state of an earlier incarnation when the engine has restarted.
+func (l *loop) detectRestart(report Report) {
+	if !l.known && l.report.Born == 0 {
 		return
 	}
-	if report.Born == d.report.Born && report.Sequence >= d.report.Sequence {
+	if report.Born == l.report.Born && report.Sequence >= l.report.Sequence {
 		return
 	}
-	d.log.Warn("the engine has restarted", zap.Int64("born", report.Born), zap.Int64("sequence", report.Sequence), zap.Int64("before", d.report.Sequence))
-	d.sequence = report.Sequence
-	d.orders, d.unanswered = nil, nil
-	clear(d.ordered)
-	d.kept = dispatch.Held{}
-	d.perform(d.table.Restarted())
+	l.log.Warn("the engine has restarted", zap.Int64("born", report.Born), zap.Int64("sequence", report.Sequence), zap.Int64("before", l.report.Sequence))
+	l.sequence = report.Sequence
+	l.orders, l.unanswered = nil, nil
+	clear(l.loads)
+	l.cached = dispatch.Held{}
+	l.perform(l.table.Restarted())
 }
 
-// perform carries out what the table decided.
-func (d *duty) perform(actions []residency.Action) {
+// perform carries out the actions that the table decided on.
+func (l *loop) perform(actions []residency.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case residency.Start:
-			d.answer(a.ID, wire.StartReply{Start: true, Version: a.Version})
+			l.answer(a.ID, wire.StartReply{Start: true, Version: a.Version})
 		case residency.Refuse:
-			delete(d.tries, a.ID)
-			d.log.Info("start refused", zap.String("request", a.ID), zap.String("reason", string(a.Reason)))
-			d.answer(a.ID, wire.StartReply{Reason: string(a.Reason)})
+			delete(l.tries, a.ID)
+			l.log.Info("start refused", zap.String("request", a.ID), zap.String("reason", string(a.Reason)))
+			l.answer(a.ID, wire.StartReply{Reason: string(a.Reason)})
 		case residency.Load:
 			model, adapter, _ := strings.Cut(a.Adapter, "/")
-			d.orders = append(d.orders, Order{Load: true, Model: model, Adapter: adapter, Version: a.Version})
+			l.orders = append(l.orders, Order{Load: true, Model: model, Adapter: adapter, Version: a.Version})
 		case residency.Unload:
 			model, adapter, _ := strings.Cut(a.Adapter, "/")
-			d.orders = append(d.orders, Order{Model: model, Adapter: adapter})
+			l.orders = append(l.orders, Order{Model: model, Adapter: adapter})
 		}
 	}
 }
 
-func (d *duty) answer(id string, reply wire.StartReply) {
-	if waiter := d.waiters[id]; waiter != nil {
-		delete(d.waiters, id)
+func (l *loop) answer(id string, reply wire.StartReply) {
+	if waiter := l.waiters[id]; waiter != nil {
+		delete(l.waiters, id)
 		waiter <- reply
 	}
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -20,34 +20,36 @@
 )
 
 const (
-	testPlaces = 2
-	loadTime   = 250 * time.Millisecond
+	testSlots = 2
+	loadTime  = 250 * time.Millisecond
 )
 
-// fakeEngine carries out orders as an engine does, and crashes the test when it
-// is ordered more than it holds.
+// fakeEngine carries out orders like an engine, and fails the test when it is ordered to hold
+// more than it can.
 type fakeEngine struct {
 	t  *testing.T
 	mu sync.Mutex
-	// hidden is how many orders get no answer; each is carried out late.
-	hidden   int
-	late     time.Duration
-	born     int64
-	sequence int64
-	models   []string
-	onDisk   []string
-	adapters map[string]int64
-	coming   map[string]int64
-	orders   []Order
-	silent   bool
-	// resets makes all orders fail at once, with an unknown fate; tries counts them.
-	resets bool
-	tries  int
-	// stale is the try that gets the late copy of an earlier order's answer, and is lost
-	// itself.
-	stale int
-	// lose, when set, says whether an order gets no answer, and how late it is carried
-	// out.
+	// lostReplies is the number of orders that get no answer; each of them is carried out after
+	// lostDelay.
+	lostReplies int
+	lostDelay   time.Duration
+	born        int64
+	sequence    int64
+	models      []string
+	onDisk      []string
+	adapters    map[string]int64
+	coming      map[string]int64
+	orders      []Order
+	silent      bool
+	// resetOrders makes all orders fail at once with an unknown outcome; tries counts the
+	// orders.
+	resetOrders bool
+	tries       int
+	// staleTry is the try that receives the late copy of an earlier order's answer and is
+	// itself lost.
+	staleTry int
+	// lose, if set, decides whether an order gets no answer, and after which delay it is
+	// carried out.
 	lose func() (bool, time.Duration)
 }
 
@@ -70,35 +72,35 @@
 func (e *fakeEngine) Order(ctx context.Context, o Order) (OrderResult, error) {
 	e.mu.Lock()
 	e.tries++
-	if e.resets {
+	if e.resetOrders {
 		defer e.mu.Unlock()
 		return OrderUnknown, errors.New("the connection was reset")
 	}
-	if e.stale > 0 && e.tries == e.stale {
+	if e.staleTry > 0 && e.tries == e.staleTry {
 		defer e.mu.Unlock()
 		return OrderAccepted, nil
 	}
-	lost, late := e.hidden > 0, e.late
+	lost, delay := e.lostReplies > 0, e.lostDelay
 	if e.lose != nil {
-		lost, late = e.lose()
+		lost, delay = e.lose()
 	}
 	if lost {
-		e.hidden--
+		e.lostReplies--
 		e.mu.Unlock()
-		time.AfterFunc(late, func() {
+		time.AfterFunc(delay, func() {
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			e.carryOut(o)
+			e.execute(o)
 		})
 		<-ctx.Done()
 		return OrderUnknown, ctx.Err()
 	}
 	defer e.mu.Unlock()
-	return e.carryOut(o), nil
+	return e.execute(o), nil
 }
 
-// carryOut is called with mu held.
-func (e *fakeEngine) carryOut(o Order) OrderResult {
+// execute carries out an order. The caller holds mu.
+func (e *fakeEngine) execute(o Order) OrderResult {
 	if o.Sequence != e.sequence {
 		return OrderConflict
 	}
@@ -114,8 +116,8 @@
 		return OrderDone
 	}
 	e.coming[name] = o.Version
-	if len(e.adapters)+len(e.coming) > testPlaces {
-		e.t.Errorf("the engine was ordered to hold %v and %v in %d places", e.adapters, e.coming, testPlaces)
+	if len(e.adapters)+len(e.coming) > testSlots {
+		e.t.Errorf("the engine was ordered to hold %v and %v in %d slots", e.adapters, e.coming, testSlots)
 	}
 	born := e.born
 	time.AfterFunc(loadTime, func() {
@@ -129,34 +131,34 @@
 	return OrderAccepted
 }
 
-func (e *fakeEngine) given() []Order {
+func (e *fakeEngine) accepted() []Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Order(nil), e.orders...)
 }
 
-// run starts an agent beside an engine in virtual time.
-func run(t *testing.T, e *fakeEngine, test func(t *testing.T, s *Sidecar)) {
-	runWith(t, e, Options{}, []route.Model{{Name: "m"}}, test)
+// runAgent runs an agent beside an engine in virtual time.
+func runAgent(t *testing.T, e *fakeEngine, test func(t *testing.T, s *Sidecar)) {
+	runAgentWith(t, e, Options{}, []route.Model{{Name: "m"}}, test)
 }
 
-// runWith is run with further options and other models.
-func runWith(t *testing.T, e *fakeEngine, options Options, models []route.Model, test func(t *testing.T, s *Sidecar)) {
+// runAgentWith is like runAgent with the given options and models.
+func runAgentWith(t *testing.T, e *fakeEngine, options Options, models []route.Model, test func(t *testing.T, s *Sidecar)) {
 	t.Helper()
-	runHolding(t, e, options, models, func(t *testing.T, s *Sidecar, documents *mesh.Documents) {
+	runAgentUnconfirmed(t, e, options, models, func(t *testing.T, s *Sidecar, documents *mesh.Documents) {
 		documents.Confirm()
 		time.Sleep(time.Second)
 		test(t, s)
 	})
 }
 
-// runHolding is runWith with a configuration that is not confirmed.
-func runHolding(t *testing.T, e *fakeEngine, options Options, models []route.Model, test func(t *testing.T, s *Sidecar, documents *mesh.Documents)) {
+// runAgentUnconfirmed is like runAgentWith, but the configuration is not confirmed.
+func runAgentUnconfirmed(t *testing.T, e *fakeEngine, options Options, models []route.Model, test func(t *testing.T, s *Sidecar, documents *mesh.Documents)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		decode := func([]byte) (*route.Document, error) {
 			return &route.Document{Services: []route.Service{{Name: "llm", Engine: &route.Engine{
-				Batch: 4, MemoryTokens: 10_000, AdapterSlots: testPlaces, Models: models,
+				Batch: 4, MemoryTokens: 10_000, AdapterSlots: testSlots, Models: models,
 			}}}}, nil
 		}
 		documents := mesh.NewDocuments(decode, zap.NewNop())
@@ -172,27 +174,27 @@
 		test(t, s, documents)
 		cancel()
 		<-ended
-		// Late orders and loads end.
+		// Wait for late orders and loads to end.
 		time.Sleep(time.Minute)
 	})
 }
 
-// An agent starts again beside an engine that held nothing, and holds a configuration that may be an old one: with
-// fewer places, or another version of an adapter than the newest.
-func TestAnAgentTakesNoLimitsFromAnUnconfirmedConfiguration(t *testing.T) {
+// An agent restarts beside an engine that held nothing, and has a configuration that may be
+// outdated, with fewer adapter slots or another version of an adapter than the newest.
+func TestUnconfirmedConfigurationIsNotApplied(t *testing.T) {
 	e := newFakeEngine(t)
-	runHolding(t, e, Options{}, []route.Model{{Name: "m"}}, func(t *testing.T, s *Sidecar, documents *mesh.Documents) {
+	runAgentUnconfirmed(t, e, Options{}, []route.Model{{Name: "m"}}, func(t *testing.T, s *Sidecar, documents *mesh.Documents) {
 		time.Sleep(time.Second)
 		if reply, err := s.admit(t.Context(), wire.StartRequest{ID: "r1", Adapter: "m/a", Prompt: 10, Tokens: 20, WaitMillis: 500}); err != nil || reply.Start {
-			t.Errorf("it starts a request: %+v, %v", reply, err)
+			t.Errorf("it starts a request before the configuration is confirmed: %+v, %v", reply, err)
 		}
-		if orders := e.given(); len(orders) != 0 {
-			t.Errorf("it orders %+v", orders)
+		if orders := e.accepted(); len(orders) != 0 {
+			t.Errorf("it gives orders before the configuration is confirmed: %+v", orders)
 		}
 		documents.Confirm()
 		time.Sleep(time.Second)
 		if reply := admit(t, s, "r2", "m/a"); !reply.Start {
-			t.Errorf("refused behind the proof: %s", reply.Reason)
+			t.Errorf("refused after the configuration was confirmed: %s", reply.Reason)
 		}
 	})
 }
@@ -206,9 +208,9 @@
 	return reply
 }
 
-func TestAnAdapterIsLoadedForARequest(t *testing.T) {
+func TestAdmitLoadsAdapter(t *testing.T) {
 	e := newFakeEngine(t)
-	run(t, e, func(t *testing.T, s *Sidecar) {
+	runAgent(t, e, func(t *testing.T, s *Sidecar) {
 		began := time.Now()
 		if reply := admit(t, s, "r1", "m/a"); !reply.Start {
 			t.Fatalf("refused: %s", reply.Reason)
@@ -216,23 +218,22 @@
 		if took := time.Since(began); took > loadTime+2*busyPoll {
 			t.Errorf("the start took %s for a load of %s", took, loadTime)
 		}
-		// The state is shown behind the answer.
+		// The state is published after the answer.
 		synctest.Wait()
 		state, _ := s.state.get()
 		if !state.Known || state.Running != 1 || len(state.Held) != 1 {
-			t.Errorf("entries see %+v", state)
+			t.Errorf("the published state is %+v", state)
 		}
 	})
 }
 
-// An engine answers an order not at all and carries it out seconds later, when
-// the agent has long ordered something else. The late load would be one too
-// many and crash the engine; callers of all adapters there would lose their
-// answers.
-func TestAnOrderThatIsCarriedOutLateIsVoid(t *testing.T) {
+// An engine does not answer an order and carries it out seconds later, when the agent has long
+// given other orders. The late load would exceed the slots and crash the engine, and callers of
+// all adapters there would lose their answers.
+func TestLateOrderIsRejected(t *testing.T) {
 	e := newFakeEngine(t)
-	e.hidden, e.late = 1, 2*time.Second
-	run(t, e, func(t *testing.T, s *Sidecar) {
+	e.lostReplies, e.lostDelay = 1, 2*time.Second
+	runAgent(t, e, func(t *testing.T, s *Sidecar) {
 		for i, adapter := range []string{"m/a", "m/b", "m/c", "m/d"} {
 			id := string(rune('1' + i))
 			began := time.Now()
@@ -248,36 +249,36 @@
 		}
 		time.Sleep(10 * time.Second)
 	})
-	for i, o := range e.given() {
+	for i, o := range e.accepted() {
 		if o.Sequence != int64(i) || o.Holder != "agent" {
-			t.Errorf("order %d was given as %+v", i, o)
+			t.Errorf("order %d is %+v", i, o)
 		}
 	}
 }
 
-// The engine stops reporting. Entries must not be told of a state that nobody
-// knows any more, and starts are refused at once rather than held.
-func TestAnEngineThatDoesNotReportIsNotUsed(t *testing.T) {
+// The engine stops reporting. Entries must not see a state that is no longer known to be true,
+// and starts are refused at once instead of queued.
+func TestSilentEngineIsUnknown(t *testing.T) {
 	e := newFakeEngine(t)
-	run(t, e, func(t *testing.T, s *Sidecar) {
+	runAgent(t, e, func(t *testing.T, s *Sidecar) {
 		e.mu.Lock()
 		e.silent = true
 		e.mu.Unlock()
 		time.Sleep(2 * time.Second)
 		if state, _ := s.state.get(); state.Known {
-			t.Error("the engine still counts as known")
+			t.Error("the engine is still reported as known")
 		}
-		if reply := admit(t, s, "r1", "m/a"); reply.Start || reply.Reason != unknownEngine {
+		if reply := admit(t, s, "r1", "m/a"); reply.Start || reply.Reason != reasonEngineUnknown {
 			t.Errorf("got %+v", reply)
 		}
 	})
 }
 
-// The engine restarts under the same address and holds nothing. The agent must
-// not start requests on what it held before, and must load the base model.
-func TestARestartedEngineIsFilledAnew(t *testing.T) {
+// The engine restarts under the same address and holds nothing. The agent must not start
+// requests on adapters of the earlier incarnation, and must load the base model.
+func TestEngineRestartReloadsModel(t *testing.T) {
 	e := newFakeEngine(t)
-	run(t, e, func(t *testing.T, s *Sidecar) {
+	runAgent(t, e, func(t *testing.T, s *Sidecar) {
 		admit(t, s, "r1", "m/a")
 		e.mu.Lock()
 		e.born, e.sequence, e.models = 2, 0, nil
@@ -285,9 +286,9 @@
 		e.mu.Unlock()
 		time.Sleep(time.Second)
 		if state, _ := s.state.get(); state.Running != 0 {
-			t.Errorf("%d requests of the earlier incarnation are left", state.Running)
+			t.Errorf("%d requests of the earlier incarnation still count as running", state.Running)
 		}
-		orders := e.given()
+		orders := e.accepted()
 		if last := orders[len(orders)-1]; !last.Load || last.Model != "m" || last.Adapter != "" {
 			t.Errorf("the last order is %+v, want a load of the base model", last)
 		}
@@ -297,24 +298,24 @@
 	})
 }
 
-func TestARequestThatIsNotWantedAnyMoreLeavesNoPin(t *testing.T) {
+func TestCancelledAdmitReleasesStart(t *testing.T) {
 	e := newFakeEngine(t)
-	run(t, e, func(t *testing.T, s *Sidecar) {
+	runAgent(t, e, func(t *testing.T, s *Sidecar) {
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
 		if _, err := s.admit(ctx, wire.StartRequest{ID: "r1", Adapter: "m/a", WaitMillis: 5000}); err == nil {
-			t.Error("a start that was given up was granted")
+			t.Error("a cancelled start was granted")
 		}
 		time.Sleep(time.Second)
 		if state, _ := s.state.get(); state.Running != 0 || state.Waiting != 0 {
-			t.Errorf("left are %+v", state)
+			t.Errorf("state after the cancelled start: %+v", state)
 		}
 	})
 }
 
-func TestEntriesGetListsOnlyWhenTheyChange(t *testing.T) {
+func TestWatchSendsListsOnlyOnChange(t *testing.T) {
 	e := newFakeEngine(t)
-	run(t, e, func(t *testing.T, s *Sidecar) {
+	runAgent(t, e, func(t *testing.T, s *Sidecar) {
 		admit(t, s, "r1", "m/a")
 		synctest.Wait()
 		first, err := s.watch(t.Context(), wire.StartWatch{})
@@ -332,10 +333,10 @@
 	})
 }
 
-// Everything loses power. The engine comes back empty and keeps its model on
-// its own disk; the configuration comes later, with the log's leader. Callers
-// would be refused for as long as the agent waits for it.
-func TestALoneModelOnDiskIsLoadedWithoutAConfiguration(t *testing.T) {
+// After a total power loss the engine starts empty, with its model on its own disk; the
+// configuration arrives later, with the log's leader. Callers would be refused for as long as
+// the agent waits for it.
+func TestModelOnDiskLoadsWithoutConfiguration(t *testing.T) {
 	e := newFakeEngine(t)
 	e.models, e.onDisk = nil, []string{"m"}
 	synctest.Test(t, func(t *testing.T) {
@@ -346,17 +347,17 @@
 		cancel()
 		synctest.Wait()
 	})
-	if orders := e.given(); len(orders) != 1 || !orders[0].Load || orders[0].Model != "m" {
-		t.Errorf("ordered were %+v, want one load of m", orders)
+	if orders := e.accepted(); len(orders) != 1 || !orders[0].Load || orders[0].Model != "m" {
+		t.Errorf("got orders %+v, want one load of m", orders)
 	}
 }
 
-// A request's first try ends because its engine restarted, and the second one
-// is granted by the same agent. The end of the first try arrives behind that:
-// the adapter would lose its hold and be unloaded under the second one.
-func TestTheEndOfAnEarlierTryDoesNotEndTheNextOne(t *testing.T) {
+// The first try of a request ends because its engine restarted, and the second one is granted
+// by the same agent. The end of the first try arrives after that; if it counted, the adapter
+// would lose its reference and be unloaded during the second try.
+func TestDoneOfEarlierTryIsIgnored(t *testing.T) {
 	e := newFakeEngine(t)
-	run(t, e, func(t *testing.T, s *Sidecar) {
+	runAgent(t, e, func(t *testing.T, s *Sidecar) {
 		for try := 1; try <= 2; try++ {
 			reply, err := s.admit(t.Context(), wire.StartRequest{ID: "r1", Try: try, Adapter: "m/a", Prompt: 10, Tokens: 20, WaitMillis: 5000})
 			if err != nil || !reply.Start {
@@ -368,13 +369,13 @@
 		}
 		synctest.Wait()
 		if state, _ := s.state.get(); state.Running != 1 {
-			t.Errorf("%d requests run, want the second try", state.Running)
+			t.Errorf("%d requests run, want the second try only", state.Running)
 		}
 		if _, err := s.done(t.Context(), wire.StartDone{ID: "r1", Try: 2}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		// Both places must come free for others.
+		// Both slots must become free for other adapters.
 		for _, adapter := range []string{"m/b", "m/c"} {
 			if reply := admit(t, s, adapter, adapter); !reply.Start {
 				t.Errorf("%s was refused: %s", adapter, reply.Reason)
@@ -383,53 +384,54 @@
 	})
 }
 
-// An engine comes up empty where a service has several models. Which one is
-// short is known elsewhere: the agent must ask, go on asking while nothing is
-// granted, and load what it was told, not the first one.
-func TestAnEmptyEngineLoadsThePermittedModel(t *testing.T) {
+// An engine starts empty in a service with several models. Which one is needed is known
+// elsewhere: the agent must request a permit, repeat the request until it is granted, and load
+// the permitted model, not the first one.
+func TestEmptyEngineLoadsPermittedModel(t *testing.T) {
 	e := newFakeEngine(t)
 	e.models, e.onDisk = nil, []string{"m"}
 	asked := 0
 	options := Options{Permit: func(_ context.Context, service string, onDisk []string, _ time.Time) string {
 		if service != "llm" || len(onDisk) != 1 {
-			t.Errorf("a permit is asked for for %q with %v on disk", service, onDisk)
+			t.Errorf("permit requested for service %q with %v on disk", service, onDisk)
 		}
 		if asked++; asked < 3 {
 			return ""
 		}
 		return "rare"
 	}}
-	runWith(t, e, options, []route.Model{{Name: "m"}, {Name: "rare"}}, func(t *testing.T, _ *Sidecar) {
+	runAgentWith(t, e, options, []route.Model{{Name: "m"}, {Name: "rare"}}, func(t *testing.T, _ *Sidecar) {
 		time.Sleep(2 * time.Second)
-		given := e.given()
-		if len(given) != 1 || given[0].Model != "rare" || given[0].Adapter != "" {
-			t.Errorf("the orders are %+v, want the load of the permitted model alone", given)
+		orders := e.accepted()
+		if len(orders) != 1 || orders[0].Model != "rare" || orders[0].Adapter != "" {
+			t.Errorf("got orders %+v, want only the load of the permitted model", orders)
 		}
 		if asked != 3 {
-			t.Errorf("a permit was asked for %d times, want 3", asked)
+			t.Errorf("a permit was requested %d times, want 3", asked)
 		}
 	})
 }
 
-// An engine is rebuilt behind its port and resets each order: the agent must not try again as fast as it is refused.
-func TestOrdersThatFailAtOnceAreNotGivenInATightLoop(t *testing.T) {
+// An engine is restarted behind its port and resets every order: the agent must not retry as
+// fast as the orders fail.
+func TestFailingOrdersBackOff(t *testing.T) {
 	e := newFakeEngine(t)
-	e.resets = true
-	const lasts = 8 * time.Second
-	run(t, e, func(t *testing.T, s *Sidecar) {
-		ctx, cancel := context.WithTimeout(t.Context(), lasts)
+	e.resetOrders = true
+	const wait = 8 * time.Second
+	runAgent(t, e, func(t *testing.T, s *Sidecar) {
+		ctx, cancel := context.WithTimeout(t.Context(), wait)
 		defer cancel()
-		_, _ = s.admit(ctx, wire.StartRequest{ID: "1", Adapter: "m/a", WaitMillis: lasts.Milliseconds()})
+		_, _ = s.admit(ctx, wire.StartRequest{ID: "1", Adapter: "m/a", WaitMillis: wait.Milliseconds()})
 		<-ctx.Done()
 	})
-	if most := int(lasts / orderTimeout); e.tries == 0 || e.tries > most/2 {
-		t.Errorf("%d orders were given in %s, %d would follow one another without a pause for the trouble's age", e.tries, lasts, most)
+	if most := int(wait / orderTimeout); e.tries == 0 || e.tries > most/2 {
+		t.Errorf("%d orders were given in %s; without backoff it would be %d", e.tries, wait, most)
 	}
 }
 
-// Many engines lost their models together and the store brings them one after the other: an agent that has waited for
-// long must not ask as often as at first.
-func TestAPermitThatIsNotGivenIsAskedForEverMoreSeldom(t *testing.T) {
+// Many engines lost their models at the same time and the store serves them one after the
+// other: an agent that has waited for long must ask less often than at first.
+func TestPermitRequestsBackOff(t *testing.T) {
 	e := newFakeEngine(t)
 	e.models = nil
 	var asked []time.Time
@@ -437,25 +439,25 @@
 		asked = append(asked, time.Now())
 		return ""
 	}}
-	runWith(t, e, options, []route.Model{{Name: "m"}, {Name: "rare"}}, func(t *testing.T, _ *Sidecar) {
+	runAgentWith(t, e, options, []route.Model{{Name: "m"}, {Name: "rare"}}, func(t *testing.T, _ *Sidecar) {
 		time.Sleep(time.Minute)
 	})
 	const most = 60
 	if len(asked) < 20 || len(asked) > most {
-		t.Errorf("a permit was asked for %d times in a minute, want 20 to %d", len(asked), most)
+		t.Errorf("a permit was requested %d times in a minute, want 20 to %d", len(asked), most)
 	}
 	if last := asked[len(asked)-1].Sub(asked[len(asked)-2]); last < time.Second {
-		t.Errorf("after a minute a permit is asked for every %s", last)
+		t.Errorf("after a minute a permit is requested every %s", last)
 	}
 }
 
-// The late copy of an earlier order's answer stands for that of a load which is lost. No request may be started on an
-// adapter that is not there, and the adapter must come all the same.
-func TestALateCopyOfAnOrdersAnswerStartsNothingWithoutItsAdapter(t *testing.T) {
-	for stale := 1; stale <= 4; stale++ {
+// The late copy of an earlier order's answer is taken for the answer to a load that is lost. No
+// request may start on an adapter that is not loaded, and the adapter must still be loaded.
+func TestStaleOrderReplyStartsNothing(t *testing.T) {
+	for staleTry := 1; staleTry <= 4; staleTry++ {
 		e := newFakeEngine(t)
-		e.stale = stale
-		run(t, e, func(t *testing.T, s *Sidecar) {
+		e.staleTry = staleTry
+		runAgent(t, e, func(t *testing.T, s *Sidecar) {
 			for i, adapter := range []string{"m/a", "m/b", "m/c", "m/d"} {
 				id := string(rune('1' + i))
 				reply := admit(t, s, id, adapter)
@@ -463,7 +465,7 @@
 				_, held := e.adapters[adapter]
 				e.mu.Unlock()
 				if !reply.Start || !held {
-					t.Errorf("with answer %d stale, the start on %s is granted %v (%s), and the adapter held %v", stale, adapter, reply.Start, reply.Reason, held)
+					t.Errorf("with answer %d stale: start on %s granted %v (%s), adapter held %v", staleTry, adapter, reply.Start, reply.Reason, held)
 				}
 				if _, err := s.done(t.Context(), wire.StartDone{ID: id}); err != nil {
 					t.Fatal(err)
@@ -473,9 +475,9 @@
 	}
 }
 
-// Answers to orders are lost, the orders carried out now or later, and reports come in between: the engine must never be
-// ordered to hold more than it can.
-func TestNoEngineIsOverloadedWhileAnswersToOrdersAreLost(t *testing.T) {
+// Answers to orders are lost, the orders are carried out at once or later, and reports arrive
+// in between: the engine must never be ordered to hold more than it can.
+func TestLostOrderRepliesDoNotOverloadEngine(t *testing.T) {
 	for seed := range uint64(200) {
 		random, losses := rand.New(rand.NewPCG(seed, 0)), rand.New(rand.NewPCG(seed, 1))
 		e := newFakeEngine(t)
@@ -483,7 +485,7 @@
 		e.lose = func() (bool, time.Duration) {
 			return losses.IntN(3) == 0, time.Duration(losses.Int64N(int64(150 * time.Millisecond)))
 		}
-		run(t, e, func(t *testing.T, s *Sidecar) {
+		runAgent(t, e, func(t *testing.T, s *Sidecar) {
 			var requests sync.WaitGroup
 			for i := range 40 {
 				adapter := fmt.Sprintf("m/%c", 'a'+random.IntN(6))
