--- a/internal/follow/config.go
+++ b/internal/follow/config.go
@@ -13,13 +13,11 @@
 	"github.com/rosemarypass/rosemarypass/coord/suspicion"
 )
 
-// Config is a copy of the configuration at one index. It is safe for
-// concurrent use.
+// Config is a copy of the configuration at one index. It is safe for concurrent use.
 //
-// Of each object the copy keeps the state with the highest revision, in
-// whatever order changes arrive. Nothing is ever removed from the
-// configuration, only retired, so that a change that is delivered late, twice
-// or by a control instance that lags can do no harm.
+// For each object the copy keeps the state with the highest revision, regardless of the order
+// in which changes arrive. Objects are never removed from the configuration, only retired, so a
+// change that is delivered late, twice or by a lagging control instance does no harm.
 type Config struct {
 	mu        sync.RWMutex
 	index     uint64
@@ -45,14 +43,14 @@
 	}
 }
 
-// Index is the index that the copy stands at: every change up to it is in force.
+// Index returns the index of the copy: every change up to it is applied.
 func (c *Config) Index() uint64 {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.index
 }
 
-// Merge takes changes in without moving the index, as parts of a snapshot do.
+// Merge applies changes without advancing the index, as for parts of a snapshot.
 func (c *Config) Merge(changes []state.Change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,8 +59,7 @@
 	}
 }
 
-// Apply takes changes in and moves the index to where they lead. It never
-// moves back.
+// Apply applies changes and advances the index to the given one. The index never decreases.
 func (c *Config) Apply(changes []state.Change, index uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,7 +86,7 @@
 	}
 }
 
-// maxSuspects is how many records are kept before expired ones are dropped.
+// maxSuspects is the number of records above which expired ones are dropped.
 const maxSuspects = 1024
 
 func (c *Config) putSuspects(records []suspicion.Record) {
@@ -105,8 +102,8 @@
 	maps.DeleteFunc(c.suspects, func(_ suspicion.Fingerprint, r suspicion.Record) bool { return !r.Held(now) })
 }
 
-// Suspect reports whether something is held against a request: it was at a
-// backend server that crashed.
+// Suspect reports whether the request with this fingerprint is a suspect: it was at a backend
+// server that crashed.
 func (c *Config) Suspect(fingerprint suspicion.Fingerprint, now time.Time) bool {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -139,8 +136,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// ContractByKey finds the contract of a caller's key. The look-up is by
-// digest, so its timing tells nothing about the key.
+// ContractByKey returns the contract of a caller's key. The lookup uses the digest, so its
+// timing reveals nothing about the key.
 func (c *Config) ContractByKey(key string) (contract.Contract, bool) {
 	hash := HashKey(key)
 	c.mu.RLock()
@@ -152,7 +149,7 @@
 	return c.contracts[id], true
 }
 
-// Contract finds a contract by ID, retired ones included.
+// Contract returns a contract by ID, including retired ones.
 func (c *Config) Contract(id string) (contract.Contract, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -160,7 +157,7 @@
 	return found, ok
 }
 
-// Adapter finds an adapter version that is not retired.
+// Adapter returns an adapter version that is not retired.
 func (c *Config) Adapter(ref catalogue.Ref) (catalogue.Adapter, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -168,7 +165,7 @@
 	return adapter, ok && !adapter.Retired
 }
 
-// Service finds a plain service.
+// Service returns a plain service.
 func (c *Config) Service(name string) (catalogue.Service, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -176,7 +173,7 @@
 	return service, ok
 }
 
-// Wanted is what operators want of a backend server.
+// Wanted returns the state that operators want a backend server to be in.
 func (c *Config) Wanted(server string) state.Wanted {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,6 +1,5 @@
-// Package follow keeps a daemon's copy of the configuration and the directory
-// of backend servers up to date from the control instances, and knows how far
-// the copy can be relied on.
+// Package follow keeps a daemon's copy of the configuration and of the directory of backend
+// servers up to date from the control instances, and tracks how far the copy can be relied on.
 package follow
 
 import (
@@ -27,27 +26,27 @@
 var (
 	pollCount       = telemetry.Counter("follow_polls")
 	pollFailedCount = telemetry.Counter("follow_polls_failed")
-	moveCount       = telemetry.Counter("follow_moves")
+	peerChangeCount = telemetry.Counter("follow_moves")
 )
 
-// Options configure a follower.
+// Options configures a follower.
 type Options struct {
-	// Daemon names the follower to the control instances.
+	// Daemon is the follower's name for the control instances.
 	Daemon string
-	// Peers are the control instances' addresses.
+	// Peers are the addresses of the control instances.
 	Peers []string
-	// Server is set by an agent, which follows only its own server's wanted
-	// state; empty follows everything.
+	// Server is set by an agent, which follows only the wanted state of its own server. Empty
+	// means that everything is followed.
 	Server string
-	// OnChange is called after changes were applied, before their index is
-	// confirmed to control. It must not block.
+	// OnChange is called after changes were applied and before their index is confirmed to
+	// control. It must not block.
 	OnChange func(*Config)
-	// PollWait is how long one poll may wait for news. It must stay well
-	// below Lease, as each poll brings a new proof of freshness.
+	// PollWait is the maximum time that one poll waits for changes. It must be well below
+	// Lease, because each poll brings a new proof of freshness.
 	PollWait time.Duration
 	// RetryDelay is the pause after a failed poll.
 	RetryDelay time.Duration
-	// Lease is how old a proof of freshness may be.
+	// Lease is the maximum age of a proof of freshness.
 	Lease time.Duration
 	// RPC are the options of connections to the control instances.
 	RPC []rpc.ClientOption
@@ -56,21 +55,21 @@
 const (
 	defaultPollWait   = time.Second
 	defaultRetryDelay = 100 * time.Millisecond
-	// maxRetryDelay bounds the pause while no control instance answers.
+	// maxRetryDelay limits the pause while no control instance answers.
 	maxRetryDelay = time.Second
-	// pollSlack is how much longer than its wait a poll may take before its
-	// control instance counts as cut off.
-	pollSlack = time.Second
+	// pollGrace is the time that a poll may take beyond its wait before its control instance
+	// counts as disconnected.
+	pollGrace = time.Second
 )
 
-// Follower polls control instances, one at a time, and moves to another when a
-// poll fails or when another one can prove more.
+// Follower polls control instances, one at a time, and switches to another when a poll fails or
+// when another one can prove more.
 type Follower struct {
 	options Options
 	log     *zap.Logger
 	config  *Config
 	servers atomic.Pointer[[]membership.Announcement]
-	// snapshot is how far a paged snapshot has been read.
+	// snapshot is the read position in a paged snapshot.
 	snapshot struct {
 		index uint64
 		page  int
@@ -79,9 +78,10 @@
 
 	mu      sync.Mutex
 	tracker *freshness.Tracker
-	// confirmed is a peer that a quorum stands behind, by the last probe.
-	confirmed string
-	kind      freshness.Kind
+	// confirmed is a peer that a quorum confirmed according to the last probe; loggedKind is
+	// the kind of freshness that was last logged.
+	confirmed  string
+	loggedKind freshness.Kind
 }
 
 // New returns a follower that has not polled yet.
@@ -95,7 +95,7 @@
 	if options.Lease == 0 {
 		options.Lease = freshness.DefaultLease
 	}
-	options.Peers = spread(options.Daemon, options.Peers)
+	options.Peers = rendezvousOrder(options.Daemon, options.Peers)
 	f := &Follower{
 		options: options,
 		log:     log,
@@ -107,16 +107,16 @@
 	return f
 }
 
-// Config is the followed configuration.
+// Config returns the followed configuration.
 func (f *Follower) Config() *Config { return f.config }
 
-// Servers is the last known directory; a server that operators want drained or
-// stopped is leaving. The slice must not be changed. It outlives the loss of
-// every control instance.
+// Servers returns the last known directory, in which servers that operators want drained or
+// stopped are marked as leaving. The slice must not be modified. It is kept when all control
+// instances are lost.
 func (f *Follower) Servers() []membership.Announcement { return *f.servers.Load() }
 
-// Freshness is what the follower can prove now. Requests may be admitted under
-// the configuration only while it says so.
+// Freshness returns what the follower can currently prove. Requests may be admitted under the
+// configuration only while it allows that.
 func (f *Follower) Freshness() freshness.State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,20 +125,20 @@
 
 // Run polls until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	duties.Go(func() { f.runPolls(ctx) })
-	duties.Go(func() { f.runProbes(ctx) })
-	duties.Wait()
+	var wg sync.WaitGroup
+	wg.Go(func() { f.runPolls(ctx) })
+	wg.Go(func() { f.runProbes(ctx) })
+	wg.Wait()
 }
 
-// spread orders the peers differently for each daemon (rendezvous hashing).
-// Daemons that all moved to the same instance after a loss would overload it.
-func spread(daemon string, peers []string) []string {
+// rendezvousOrder orders the peers differently for each daemon (rendezvous hashing). If all
+// daemons switched to the same instance after a loss, they would overload it.
+func rendezvousOrder(daemon string, peers []string) []string {
 	weight := func(peer string) uint64 { return xxhash.Sum64String(daemon + "\x00" + peer) }
 	return slices.SortedFunc(slices.Values(peers), func(a, b string) int { return cmp.Compare(weight(a), weight(b)) })
 }
 
-// runPolls follows one peer after the other.
+// runPolls follows one peer after another.
 func (f *Follower) runPolls(ctx context.Context) {
 	delay := f.options.RetryDelay
 	for next := 0; ctx.Err() == nil; next++ {
@@ -155,17 +155,17 @@
 			delay = f.options.RetryDelay
 			f.log.Info("control instance lost", zap.String("peer", peer), zap.String("error", err.Error()))
 		}
-		moveCount.Add(1)
+		peerChangeCount.Add(1)
 		f.forgetPeer(peer)
 		_ = wait.For(ctx, delay)
 	}
 }
 
-// errUnconfirmed means that another control instance can prove more.
-var errUnconfirmed = errors.New("no quorum stands behind the control instance, and one stands behind another")
+// errUnconfirmed is returned when another control instance can prove more.
+var errUnconfirmed = errors.New("the control instance has no quorum behind it, another one has")
 
-// followPeer polls one peer until that fails. It reports whether the peer had
-// answered before.
+// followPeer polls one peer until a poll fails. It reports whether the peer had answered
+// before.
 func (f *Follower) followPeer(ctx context.Context, peer string) (answered bool, err error) {
 	client := rpc.NewClient(peer, f.options.RPC...)
 	defer client.Close()
@@ -183,22 +183,22 @@
 }
 
 func (f *Follower) poll(ctx context.Context, client *rpc.Client) (freshness.Standing, error) {
-	ctx, cancel := context.WithTimeout(ctx, f.options.PollWait+pollSlack)
+	ctx, cancel := context.WithTimeout(ctx, f.options.PollWait+pollGrace)
 	defer cancel()
 	pollCount.Add(1)
 	sent := time.Now()
 	var reply wire.WatchReply
-	if err := client.Call(ctx, wire.MethodWatch, f.question(), &reply); err != nil {
+	if err := client.Call(ctx, wire.MethodWatch, f.watchRequest(), &reply); err != nil {
 		return freshness.Standing{}, err
 	}
 	if err := f.apply(reply); err != nil {
 		return freshness.Standing{}, err
 	}
-	f.answered(reply.Standing, sent)
+	f.recordStanding(reply.Standing, sent)
 	return reply.Standing, nil
 }
 
-func (f *Follower) question() wire.Watch {
+func (f *Follower) watchRequest() wire.Watch {
 	watch := wire.Watch{
 		Daemon:           f.options.Daemon,
 		Scope:            wire.ScopeAll,
@@ -217,7 +217,7 @@
 	return watch
 }
 
-// apply takes a reply in.
+// apply applies a reply.
 func (f *Follower) apply(reply wire.WatchReply) error {
 	before := f.config.Index()
 	changes, err := reply.AllChanges()
@@ -230,16 +230,15 @@
 			return err
 		}
 	}
-	moved := f.config.Index() != before
-	if moved && f.options.OnChange != nil {
+	changed := f.config.Index() != before
+	if changed && f.options.OnChange != nil {
 		f.options.OnChange(f.config)
 	}
-	return f.applyDirectory(reply.Directory, moved)
+	return f.applyDirectory(reply.Directory, changed)
 }
 
-// applyPage merges one page of a snapshot. Only the last page moves the index:
-// until then the copy lacks objects, and the tail must follow from the
-// snapshot's own index.
+// applyPage merges one page of a snapshot. Only the last page advances the index: until then
+// the copy lacks objects, and later changes must follow from the snapshot's own index.
 func (f *Follower) applyPage(page wire.SnapshotPage) error {
 	var changes []state.Change
 	if err := wire.Unpack(page.Changes, &changes); err != nil {
@@ -247,7 +246,7 @@
 	}
 	expected := page.Index == f.snapshot.index && page.Page == f.snapshot.page
 	if !expected && page.Page != 0 {
-		return errors.Errorf("page %d of snapshot %d was not asked for", page.Page, page.Index)
+		return errors.Errorf("unexpected page %d of snapshot %d", page.Page, page.Index)
 	}
 	f.config.Merge(changes)
 	f.snapshot.index, f.snapshot.page = page.Index, page.Page+1
@@ -258,8 +257,8 @@
 	return nil
 }
 
-func (f *Follower) applyDirectory(packed []byte, configMoved bool) error {
-	changed := configMoved
+func (f *Follower) applyDirectory(packed []byte, configChanged bool) error {
+	changed := configChanged
 	if packed != nil {
 		var delta membership.Delta
 		if err := wire.Unpack(packed, &delta); err != nil {
--- a/internal/follow/probe.go
+++ b/internal/follow/probe.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	// probeInterval is how often the need of a probe is looked at.
+	// probeInterval is the interval of the checks whether a probe is due.
 	probeInterval = 250 * time.Millisecond
-	// probeTimeout bounds one question of a probe.
+	// probeTimeout limits the calls of one probe.
 	probeTimeout = 700 * time.Millisecond
 )
 
-// probeTries are the probes that bring no proof. Polls go on meanwhile, and a control
-// instance that is there again proves with its first answer.
-var probeTries = backoff.Options{First: probeInterval, Most: 4 * time.Second}
+// probeBackoff is the backoff of probes that bring no proof. Polls continue in the meantime,
+// and a control instance that is available again brings a proof with its first answer.
+var probeBackoff = backoff.Options{First: probeInterval, Most: 4 * time.Second}
 
 var probeCount = telemetry.Counter("follow_probes")
 
-// answered takes in what a control instance said of itself.
-func (f *Follower) answered(standing freshness.Standing, sent time.Time) {
+// recordStanding records the standing that a control instance reported.
+func (f *Follower) recordStanding(standing freshness.Standing, sent time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.tracker.Advance(f.config.Index())
@@ -40,24 +40,24 @@
 	f.logChange(time.Now())
 }
 
-// logChange logs a change of what the follower can prove. The caller holds mu.
+// logChange logs a change of the kind of freshness. The caller holds mu.
 func (f *Follower) logChange(now time.Time) {
 	state := f.tracker.State(now)
-	if state.Kind == f.kind {
+	if state.Kind == f.loggedKind {
 		return
 	}
-	f.kind = state.Kind
+	f.loggedKind = state.Kind
 	f.log.Info("configuration "+string(state.Kind), zap.String("reason", state.Reason), zap.Time("asOf", state.AsOf))
 }
 
-// confirmedPeer is a peer that a quorum stands behind, empty when unknown.
+// confirmedPeer returns a peer that a quorum confirmed; empty when unknown.
 func (f *Follower) confirmedPeer() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.confirmed
 }
 
-// forgetPeer drops a peer that failed from what the last probe found.
+// forgetPeer clears a failed peer from the result of the last probe.
 func (f *Follower) forgetPeer(peer string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,34 +66,34 @@
 	}
 }
 
-// runProbes asks every control instance whenever the followed one has not
-// brought a proof for a while.
+// runProbes probes all control instances whenever the followed one has not brought a proof for
+// a while.
 func (f *Follower) runProbes(ctx context.Context) {
 	clients := make([]*rpc.Client, len(f.options.Peers))
 	for i, peer := range f.options.Peers {
 		clients[i] = rpc.NewClient(peer, f.options.RPC...)
 		defer clients[i].Close()
 	}
-	f.keepProbing(ctx, func() { f.probe(ctx, clients) })
+	f.probeLoop(ctx, func() { f.probe(ctx, clients) })
 }
 
-// keepProbing probes whenever that is due, and ever more seldom while it brings no
-// proof: all daemons ask the same few control instances.
-func (f *Follower) keepProbing(ctx context.Context, probe func()) {
-	var trouble backoff.Trouble
+// probeLoop probes whenever a probe is due, with a growing pause while probes bring no proof:
+// all daemons ask the same few control instances.
+func (f *Follower) probeLoop(ctx context.Context, probe func()) {
+	var failures backoff.Trouble
 	pause := probeInterval
 	for wait.For(ctx, pause) == nil {
 		pause = probeInterval
 		if !f.probeDue() {
-			trouble.Over()
+			failures.Over()
 			continue
 		}
 		probe()
 		if f.Freshness().MayAdmit() {
-			trouble.Over()
+			failures.Over()
 			continue
 		}
-		pause = probeTries.Pause(trouble.Failed(time.Now()), 0, rand.Float64())
+		pause = probeBackoff.Pause(failures.Failed(time.Now()), 0, rand.Float64())
 	}
 }
 
@@ -104,8 +104,8 @@
 	return f.tracker.ProbeDue(time.Now())
 }
 
-// probed is the outcome of one question.
-type probed struct {
+// probeResult is the outcome of the call to one control instance.
+type probeResult struct {
 	peer     string
 	standing freshness.Standing
 	err      error
@@ -116,20 +116,20 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	sent := time.Now()
-	results := make([]probed, len(clients))
-	var questions sync.WaitGroup
+	results := make([]probeResult, len(clients))
+	var calls sync.WaitGroup
 	for i, client := range clients {
-		questions.Go(func() {
+		calls.Go(func() {
 			var reply wire.StandingReply
 			err := client.Call(ctx, wire.MethodStanding, wire.StandingRequest{}, &reply)
-			results[i] = probed{peer: f.options.Peers[i], standing: reply.Standing, err: err}
+			results[i] = probeResult{peer: f.options.Peers[i], standing: reply.Standing, err: err}
 		})
 	}
-	questions.Wait()
-	f.probed(sent, results)
+	calls.Wait()
+	f.recordProbe(sent, results)
 }
 
-func (f *Follower) probed(sent time.Time, results []probed) {
+func (f *Follower) recordProbe(sent time.Time, results []probeResult) {
 	round := freshness.Round{Sent: sent}
 	confirmed := ""
 	for _, result := range results {
--- a/internal/follow/probe_test.go
+++ b/internal/follow/probe_test.go
@@ -9,15 +9,15 @@
 	"go.uber.org/zap"
 )
 
-// Control has no quorum for a minute. Hundreds of daemons must not ask its instances as often all the while as in the
-// first second.
-func TestProbesWithoutAProofGrowRarer(t *testing.T) {
+// Control has no quorum for a minute. In that time hundreds of daemons must not keep probing
+// its instances at the rate of the first second.
+func TestProbesBackOffWithoutProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := New(Options{Daemon: "d", Peers: []string{"p:1"}, Lease: 3 * time.Second}, zap.NewNop())
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		var probes []time.Time
-		f.keepProbing(ctx, func() { probes = append(probes, time.Now()) })
+		f.probeLoop(ctx, func() { probes = append(probes, time.Now()) })
 		if len(probes) < 10 || len(probes) > 80 {
 			t.Fatalf("%d probes in a minute without a proof, want 10 to 80", len(probes))
 		}
--- a/internal/follow/rendezvous_test.go
+++ b/internal/follow/rendezvous_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// A control instance with a ninth of all daemons is lost. If they all went to
-// the same other one, it would carry twice its share at the worst moment.
-func TestDaemonsOfALostInstanceSpreadOverTheOthers(t *testing.T) {
+// A control instance that serves a ninth of all daemons is lost. If they all switched to the
+// same other instance, it would carry twice its share at a critical moment.
+func TestRendezvousOrderSpreadsLoad(t *testing.T) {
 	peers := make([]string, 9)
 	for i := range peers {
 		peers[i] = fmt.Sprintf("10.0.0.%d:7201", i+1)
 	}
 	first, second := make(map[string]int), make(map[string]int)
 	for i := range 970 {
-		order := spread(fmt.Sprint("daemon-", i), peers)
+		order := rendezvousOrder(fmt.Sprint("daemon-", i), peers)
 		first[order[0]]++
 		if order[0] == peers[3] {
 			second[order[1]]++
