--- a/internal/gateway/agents.go
+++ b/internal/gateway/agents.go
@@ -94,14 +94,14 @@
 	maxFarWatchRate  = 60
 )
 
-// watchRetries is the backoff after a failed watch. The pause that the agent's share of the
-// watch rate implies is the lower limit.
-var watchRetries = backoff.Options{First: 100 * time.Millisecond, Most: 2 * time.Second}
+// watchBackoff is the backoff after a failed watch. The pause that follows from the agent's
+// share of the watch rate is the lower limit.
+var watchBackoff = backoff.Options{First: 100 * time.Millisecond, Most: 2 * time.Second}
 
 func (a *agentClient) run(ctx context.Context) {
 	defer a.client.Close()
 	var known wire.EngineState
-	var failing backoff.Trouble
+	var failures backoff.Trouble
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, watchTimeout)
 		var state wire.EngineState
@@ -111,9 +111,9 @@
 		cancel()
 		pause := time.Duration(a.pause.Load())
 		if err != nil {
-			state, pause = wire.EngineState{}, retryPause(pause, failing.Failed(time.Now()), rand.Float64())
+			state, pause = wire.EngineState{}, retryPause(pause, failures.Failed(time.Now()), rand.Float64())
 		} else {
-			failing.Over()
+			failures.Over()
 			if state.HeldChange == known.HeldChange {
 				state.Held, state.Stale = known.Held, known.Stale
 			}
@@ -127,8 +127,8 @@
 // retryPause returns the pause after a failed watch. It is at least minPause, the pause that
 // follows from the agent's share of the watch rate: an engine that does not answer costs no
 // more than one that does.
-func retryPause(minPause, failing time.Duration, random float64) time.Duration {
-	return max(minPause, watchRetries.Pause(failing, 0, random))
+func retryPause(minPause, failingFor time.Duration, random float64) time.Duration {
+	return max(minPause, watchBackoff.Pause(failingFor, 0, random))
 }
 
 // setState stores a state that the agent reported. An engine without a model has also lost
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -18,8 +18,9 @@
 
 func (x *exchange) tokens() int { return x.call.PromptTokens + x.call.OutputTokens }
 
-// start requests a start from the agent. granted is false when there is no agent to ask; the
-// request may then be sent without a start. ok is false when another server should be tried.
+// start requests a start from the agent. granted is false when there is no agent to ask and the
+// engine holds what the request needs; the request may then be sent without a start. ok is
+// false when another server should be tried.
 func (x *exchange) start(v *server) (granted, ok bool) {
 	if v.agent == nil {
 		return false, true
