--- a/coord/replog/change.go
+++ b/coord/replog/change.go
@@ -1,15 +1,15 @@
 package replog
 
-// AddLearner appends the membership change that adds a learner.
+// AddLearner appends the membership change that adds m as a learner.
 func (n *Node) AddLearner(m Member) (index, term uint64, err error) {
-	return n.change(func(c Config) (Config, error) { return c.withLearner(m) })
+	return n.proposeChange(func(c Config) (Config, error) { return c.withLearner(m) })
 }
 
-// Promote appends the change that makes a learner a voter. A learner that has
-// not caught up is refused: it would count for the quorum while it cannot
-// acknowledge anything.
+// Promote appends the membership change that makes a learner a voter. It
+// returns ErrNotCaughtUp for a learner that lags: it would count toward the
+// quorum size without being able to acknowledge entries.
 func (n *Node) Promote(id ID) (index, term uint64, err error) {
-	return n.change(func(c Config) (Config, error) {
+	return n.proposeChange(func(c Config) (Config, error) {
 		next, err := c.withPromoted(id)
 		if err == nil && n.role == Leader && !n.caughtUp(id) {
 			err = ErrNotCaughtUp
@@ -18,14 +18,14 @@
 	})
 }
 
-// Remove appends the change that removes a member. A healthy voter may only go
-// when the loss of another one would be survivable without it: that loss may
-// have happened already, unnoticed, and the change could then neither be
-// committed nor be undone.
+// Remove appends the membership change that removes a member. A healthy voter
+// can only be removed if the remaining voters tolerate the loss of another one:
+// that loss may already have happened undetected, and the change could then
+// neither be committed nor be undone.
 func (n *Node) Remove(id ID) (index, term uint64, err error) {
-	return n.change(func(c Config) (Config, error) {
-		// Alone with its own removal on its log, a leader would neither campaign
-		// nor vote for those whose logs lack it.
+	return n.proposeChange(func(c Config) (Config, error) {
+		// If the entry reached no other log, a leader that removed itself would
+		// neither campaign nor vote for members whose logs lack the entry.
 		if id == n.options.ID && !n.options.faults.removeLeader {
 			return c, ErrRemovesLeader
 		}
@@ -37,7 +37,7 @@
 	})
 }
 
-func (n *Node) change(f func(Config) (Config, error)) (index, term uint64, err error) {
+func (n *Node) proposeChange(f func(Config) (Config, error)) (index, term uint64, err error) {
 	switch {
 	case n.role != Leader:
 		return 0, 0, ErrNotLeader
@@ -54,15 +54,15 @@
 		return 0, 0, ErrWouldLoseQuorum
 	}
 	index = n.appendOwn(Entry{Config: &next})
-	n.followConfig()
+	n.updateProgress()
 	n.advanceCommit()
 	return index, n.term, nil
 }
 
-// changePending is true while a change is not committed, and until the leader
-// has committed an entry of its own term: before that it may not know of a
-// change that another leader committed. Two changes at once could leave two
-// quorums without a common member.
+// changePending reports whether a membership change is uncommitted, or the
+// leader has not yet committed an entry of its own term: until then a change
+// committed by an earlier leader may be unknown to it. Two concurrent changes
+// could produce two disjoint quorums.
 func (n *Node) changePending() bool {
 	if n.options.faults.concurrentChanges {
 		return false
@@ -71,18 +71,19 @@
 	return n.configs.lastIndex() > n.commit || !ok || term != n.term
 }
 
-// caughtUp reports whether a member has synced all that was committed at the
-// last heartbeat and still answers.
+// caughtUp reports whether a member is reachable and has synced every entry
+// that was committed at the last heartbeat.
 func (n *Node) caughtUp(id ID) bool {
 	if id == n.options.ID {
-		return n.stable >= n.commitAtBeat
+		return n.stable >= n.commitAtHeartbeat
 	}
 	p := n.progress[id]
-	return n.reachable(id) && p.contacted && p.match >= n.commitAtBeat
+	return n.reachable(id) && p.contacted && p.match >= n.commitAtHeartbeat
 }
 
-// TransferLeadership hands the leadership to another voter once that has the
-// whole log. Proposals are refused meanwhile, for an election timeout at most.
+// TransferLeadership transfers leadership to another voter once that voter has
+// the whole log. Proposals are refused until the transfer ends, for one election
+// timeout at most.
 func (n *Node) TransferLeadership(to ID) error {
 	switch {
 	case n.role != Leader:
--- a/coord/replog/config.go
+++ b/coord/replog/config.go
@@ -2,36 +2,36 @@
 
 import "slices"
 
-// Config is the membership. Configs are immutable values.
+// Config is the membership of a cluster. Configs are immutable values.
 type Config struct {
-	// Cluster is drawn when the log is founded. Messages of another cluster
-	// must not reach a node.
+	// Cluster is a random ID generated when the log is created. Messages of
+	// another cluster must not reach a node.
 	Cluster string `json:"cluster"`
 	// Voters elect leaders and acknowledge entries.
 	Voters []Member `json:"voters"`
-	// Learners receive the log without counting.
+	// Learners receive the log but do not count toward a quorum.
 	Learners []Member `json:"learners,omitempty"`
 }
 
-// Quorum is the least number of voters that decide.
+// Quorum returns the number of voters in a majority.
 func (c Config) Quorum() int { return len(c.Voters)/2 + 1 }
 
-// Members returns voters, then learners.
+// Members returns the voters followed by the learners.
 func (c Config) Members() []Member {
 	return slices.Concat(c.Voters, c.Learners)
 }
 
-// Voter reports whether a member is a voter.
-func (c Config) Voter(id ID) bool { return find(c.Voters, id) >= 0 }
+// Voter reports whether id is a voter.
+func (c Config) Voter(id ID) bool { return memberIndex(c.Voters, id) >= 0 }
 
-// Learner reports whether a member is a learner.
-func (c Config) Learner(id ID) bool { return find(c.Learners, id) >= 0 }
+// Learner reports whether id is a learner.
+func (c Config) Learner(id ID) bool { return memberIndex(c.Learners, id) >= 0 }
 
-func find(members []Member, id ID) int {
+func memberIndex(members []Member, id ID) int {
 	return slices.IndexFunc(members, func(m Member) bool { return m.ID == id })
 }
 
-func without(members []Member, id ID) []Member {
+func withoutMember(members []Member, id ID) []Member {
 	return slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.ID == id })
 }
 
@@ -44,12 +44,12 @@
 }
 
 func (c Config) withPromoted(id ID) (Config, error) {
-	at := find(c.Learners, id)
+	at := memberIndex(c.Learners, id)
 	if at < 0 {
 		return c, ErrUnknownMember
 	}
 	c.Voters = append(slices.Clone(c.Voters), c.Learners[at])
-	c.Learners = without(c.Learners, id)
+	c.Learners = withoutMember(c.Learners, id)
 	return c, nil
 }
 
@@ -57,13 +57,13 @@
 	if !c.Voter(id) && !c.Learner(id) {
 		return c, ErrUnknownMember
 	}
-	c.Voters = without(c.Voters, id)
-	c.Learners = without(c.Learners, id)
+	c.Voters = withoutMember(c.Voters, id)
+	c.Learners = withoutMember(c.Learners, id)
 	return c, nil
 }
 
-// configHistory keeps the configurations of the log's entries, so that one
-// whose entry is truncated falls back to its predecessor.
+// configHistory keeps the configurations contained in the log, so that
+// truncating a configuration entry reverts to the preceding configuration.
 type configHistory struct {
 	base    Config
 	changes []configChange
@@ -81,7 +81,8 @@
 	return h.changes[len(h.changes)-1].config
 }
 
-// lastIndex is the index of the last change that is still in the log.
+// lastIndex returns the index of the last configuration change in the log, 0 if
+// there is none.
 func (h *configHistory) lastIndex() uint64 {
 	if len(h.changes) == 0 {
 		return 0
@@ -107,12 +108,12 @@
 	}
 }
 
-// truncate forgets the changes at and after an index.
+// truncate drops the changes at and after an index.
 func (h *configHistory) truncate(from uint64) {
 	h.changes = slices.DeleteFunc(h.changes, func(c configChange) bool { return c.index >= from })
 }
 
-// compact folds the changes up to an index into the base.
+// compact folds the changes up to and including index into the base.
 func (h *configHistory) compact(index uint64) {
 	h.base = h.at(index)
 	h.changes = slices.DeleteFunc(h.changes, func(c configChange) bool { return c.index <= index })
--- a/coord/replog/election.go
+++ b/coord/replog/election.go
@@ -2,25 +2,25 @@
 
 func (n *Node) becomeFollower(term uint64, leader ID) {
 	if term > n.term {
-		n.term, n.vote, n.hardDirty = term, "", true
-		n.heardTick = 0
+		n.term, n.vote, n.hardStateDirty = term, "", true
+		n.leaderTick = 0
 	}
 	n.role, n.leader = Follower, leader
 	n.reset()
 }
 
 func (n *Node) reset() {
-	n.elapsed, n.heartbeat = 0, 0
-	n.timeout = n.options.ElectionTicks + n.options.Random.IntN(n.options.ElectionTicks)
+	n.electionElapsed, n.heartbeatElapsed = 0, 0
+	n.electionTimeout = n.options.ElectionTicks + n.options.Random.IntN(n.options.ElectionTicks)
 	n.votes = nil
 	n.transferee, n.transferTick = "", 0
 	n.progress = nil
 	n.ready.FailedReads = append(n.ready.FailedReads, n.reads.clear()...)
 }
 
-// startElection first asks whether an election could be won. Without that
-// question a member that was cut off would come back with a high term and
-// depose a leader that works.
+// startElection starts a pre-vote round, which asks whether an election could be
+// won. Without pre-vote a partitioned member would return with a higher term and
+// depose a working leader.
 func (n *Node) startElection() {
 	if n.options.faults.noPreVote {
 		n.campaign(nil)
@@ -33,15 +33,15 @@
 	n.countVote(n.options.ID, true)
 }
 
-// campaign enters a new term as a candidate. Its own vote counts, and its
-// requests go out, only once the vote is synced. The request is the leader's
-// that asked for a transfer, nil without one.
+// campaign enters a new term as a candidate. The node's own vote counts, and its
+// vote requests are sent, only once the vote is synced. request is the leader's
+// message that asked for a leadership transfer, or nil.
 func (n *Node) campaign(request *Message) {
 	n.role, n.leader = Candidate, ""
 	n.reset()
 	n.term++
-	n.heardTick = 0
-	n.vote, n.hardDirty = n.options.ID, true
+	n.leaderTick = 0
+	n.vote, n.hardStateDirty = n.options.ID, true
 	n.votes = make(map[ID]bool)
 	vote := Message{Kind: KindVote, Term: n.term}
 	if request != nil {
@@ -60,10 +60,10 @@
 	}
 }
 
-func (n *Node) answerVote(m Message) {
+func (n *Node) handleVote(m Message) {
 	pre := m.Kind == KindPreVote
-	free := n.vote == m.From || n.vote == "" && n.leader == "" || pre && m.Term > n.term
-	grant := free && n.upToDate(m.Index, m.LogTerm)
+	canVote := n.vote == m.From || n.vote == "" && n.leader == "" || pre && m.Term > n.term
+	grant := canVote && n.upToDate(m.Index, m.LogTerm)
 	reply := Message{Kind: KindVoteReply, To: m.From, Reject: !grant}
 	if pre {
 		reply.Kind = KindPreVoteReply
@@ -74,14 +74,14 @@
 		return
 	}
 	if grant && n.vote == "" {
-		n.vote, n.hardDirty = m.From, true
-		n.elapsed = 0
+		n.vote, n.hardStateDirty = m.From, true
+		n.electionElapsed = 0
 	}
 	n.sendAfterSync(reply)
 }
 
-// upToDate reports whether a log with that last entry holds every entry that
-// this node may have acknowledged.
+// upToDate reports whether a log with the given last entry contains every entry
+// that this node may have acknowledged.
 func (n *Node) upToDate(index, term uint64) bool {
 	if term != n.log.lastTerm() {
 		return term > n.log.lastTerm()
@@ -89,7 +89,7 @@
 	return index >= n.log.lastIndex()
 }
 
-func (n *Node) takeVote(m Message) {
+func (n *Node) handleVoteReply(m Message) {
 	expected := n.role == Candidate && m.Kind == KindVoteReply || n.role == PreCandidate && m.Kind == KindPreVoteReply
 	if !expected || !n.Config().Voter(m.From) {
 		return
@@ -125,16 +125,16 @@
 	n.role, n.leader = Leader, n.options.ID
 	n.reset()
 	n.progress = make(map[ID]*progress)
-	n.uncommitted = n.log.bytesAfter(n.commit)
-	n.followConfig()
-	// The leader may only count entries of its own term as committed; an empty
-	// one lets it commit those of earlier terms along with it.
+	n.uncommittedBytes = n.log.bytesAfter(n.commit)
+	n.updateProgress()
+	// A leader may only commit entries of its own term by counting replicas;
+	// committing an empty entry of its term also commits those of earlier terms.
 	n.appendOwn(Entry{})
 	n.sendHeartbeats()
 }
 
-// followConfig makes the leader's progress match the configuration.
-func (n *Node) followConfig() {
+// updateProgress adds and removes progress entries to match the configuration.
+func (n *Node) updateProgress() {
 	config := n.Config()
 	for _, m := range config.Members() {
 		if n.progress[m.ID] == nil {
--- a/coord/replog/example_test.go
+++ b/coord/replog/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/rosemarypass/rosemarypass/coord/replog"
 )
 
-// The founder of a log is its only voter: it elects itself, and what it proposes
-// is committed as soon as its own disk has it.
+// The first member of a log is its only voter: it elects itself, and its proposals
+// are committed as soon as they are synced to its own disk.
 func Example() {
 	founding := replog.Founding(replog.Config{
 		Cluster: "example",
@@ -20,8 +20,8 @@
 	)
 	drive := func() {
 		for ready, ok := node.Ready(); ok; ready, ok = node.Ready() {
-			// Here the owner writes the hard state, snapshot and entries to its
-			// disk, and sends the messages.
+			// A real caller writes the hard state, snapshot and entries to disk
+			// here, and sends the messages.
 			node.Synced(ready.Sequence)
 			for _, entry := range ready.Committed {
 				if entry.Data != nil {
--- a/coord/replog/follower.go
+++ b/coord/replog/follower.go
@@ -4,22 +4,22 @@
 	if n.role != Follower || n.leader != m.From {
 		n.becomeFollower(m.Term, m.From)
 	}
-	n.elapsed = 0
+	n.electionElapsed = 0
 	switch m.Kind {
 	case KindAppend:
-		n.takeAppend(m)
+		n.handleAppend(m)
 	case KindHeartbeat:
-		n.heardTick = max(n.heardTick, m.Sent)
+		n.leaderTick = max(n.leaderTick, m.Sent)
 		n.commitTo(min(m.Commit, n.log.lastIndex()))
-		// The reply promises nothing that is on disk, so a slow disk does not
-		// cost the leader its quorum.
+		// The reply does not depend on synced state and is sent immediately, so
+		// that a slow disk does not cost the leader its quorum.
 		n.send(Message{Kind: KindHeartbeatReply, To: m.From, Read: m.Read, Sent: m.Sent})
 	case KindSnapshot:
-		n.takeSnapshot(m)
+		n.handleSnapshot(m)
 	}
 }
 
-func (n *Node) takeAppend(m Message) {
+func (n *Node) handleAppend(m Message) {
 	if m.Index < n.commit {
 		n.sendAfterSync(Message{Kind: KindAppendReply, To: m.From, Index: n.commit})
 		return
@@ -30,16 +30,16 @@
 		return
 	}
 	last := m.Index + uint64(len(m.Entries))
-	if fresh := n.unknown(m.Entries); len(fresh) > 0 {
-		n.appendEntries(fresh)
+	if missing := n.missingEntries(m.Entries); len(missing) > 0 {
+		n.appendEntries(missing)
 	}
 	n.commitTo(min(m.Commit, last))
 	n.sendAfterSync(Message{Kind: KindAppendReply, To: m.From, Index: last})
 }
 
-// unknown skips the entries that the log already holds. A delayed append must
-// not cut off entries that a later one has added.
-func (n *Node) unknown(entries []Entry) []Entry {
+// missingEntries skips the entries that the log already contains. A delayed
+// append must not truncate entries that a later one has added.
+func (n *Node) missingEntries(entries []Entry) []Entry {
 	for i, e := range entries {
 		if !n.log.matches(e.Index, e.Term) {
 			return entries[i:]
@@ -52,15 +52,15 @@
 	n.commit = max(n.commit, index)
 }
 
-func (n *Node) takeSnapshot(m Message) {
+func (n *Node) handleSnapshot(m Message) {
 	s := m.Snapshot
 	if s != nil && s.Index > n.commit {
-		n.install(*s)
+		n.installSnapshot(*s)
 	}
 	n.sendAfterSync(Message{Kind: KindAppendReply, To: m.From, Index: n.commit})
 }
 
-func (n *Node) install(s Snapshot) {
+func (n *Node) installSnapshot(s Snapshot) {
 	if n.log.matches(s.Index, s.Term) {
 		n.commitTo(s.Index)
 		return
--- a/coord/replog/log.go
+++ b/coord/replog/log.go
@@ -5,12 +5,13 @@
 	"slices"
 )
 
-// entryOverhead is counted for each entry beside its data, in bytes.
+// entryOverhead is the size in bytes counted for each entry in addition to its
+// data.
 const entryOverhead = 32
 
-// entryLog is the log in memory: the entries after a compacted prefix.
+// entryLog is the in-memory log: the entries after a compacted prefix.
 type entryLog struct {
-	// prefixIndex and prefixTerm are those of the last compacted entry.
+	// prefixIndex and prefixTerm are the index and term of the last compacted entry.
 	prefixIndex uint64
 	prefixTerm  uint64
 	entries     []Entry
@@ -23,7 +24,8 @@
 	return term
 }
 
-// term returns the term of an entry, false when it is compacted or not there.
+// term returns the term of an entry, or false if the entry is compacted or
+// beyond the end of the log.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	if index == l.prefixIndex {
 		return l.prefixTerm, true
@@ -39,7 +41,8 @@
 	return ok && found == term
 }
 
-// slice returns the entries from first to last, which must be in memory.
+// slice returns the entries from first to last inclusive, which must be in
+// memory.
 func (l *entryLog) slice(first, last uint64) []Entry {
 	if first > last {
 		return nil
@@ -47,8 +50,8 @@
 	return slices.Clone(l.entries[first-l.prefixIndex-1 : last-l.prefixIndex])
 }
 
-// batch returns entries from an index on, up to a number of bytes but at least
-// one entry.
+// batch returns the entries starting at from, up to maxBytes but at least one
+// entry.
 func (l *entryLog) batch(from uint64, maxBytes int) []Entry {
 	size, last := 0, from-1
 	for last < l.lastIndex() {
@@ -61,19 +64,20 @@
 	return l.slice(from, last)
 }
 
-// append adds contiguous entries after dropping those at and after the first.
+// append adds contiguous entries after dropping existing ones at and after the
+// first new index.
 func (l *entryLog) append(entries []Entry) {
 	first := entries[0].Index
 	if first <= l.prefixIndex || first > l.lastIndex()+1 {
-		panic(fmt.Sprintf("append at %d to a log of (%d, %d]", first, l.prefixIndex, l.lastIndex()))
+		panic(fmt.Sprintf("append at index %d outside the log range (%d, %d]", first, l.prefixIndex, l.lastIndex()))
 	}
 	kept := l.entries[:first-l.prefixIndex-1]
 	l.entries = append(kept, entries...)
 }
 
-// conflict returns the largest index up to the given one whose term is not
-// above the given term: nothing after it can match. An index before the
-// compacted prefix is returned as it is.
+// conflict returns the largest index at or below the given one whose term does
+// not exceed the given term: no later entry can match. An index before the
+// compacted prefix is returned unchanged.
 func (l *entryLog) conflict(index, term uint64) (hintIndex, hintTerm uint64) {
 	index = min(index, l.lastIndex())
 	for ; index > l.prefixIndex; index-- {
@@ -100,7 +104,7 @@
 	l.prefixIndex, l.prefixTerm, l.entries = index, term, nil
 }
 
-// bytesAfter sums the data of the entries after an index.
+// bytesAfter returns the data size in bytes of the entries after an index.
 func (l *entryLog) bytesAfter(index uint64) int {
 	size := 0
 	for _, e := range l.entries[max(index, l.prefixIndex)-l.prefixIndex:] {
--- a/coord/replog/node.go
+++ b/coord/replog/node.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Node is one member's part of the replicated log. One duty owns it.
+// Node is one member of the replicated log. It is not safe for concurrent use.
 type Node struct {
 	options Options
 	role    Role
@@ -14,39 +14,40 @@
 	configs  configHistory
 	snapshot *Snapshot
 	commit   uint64
-	// stable is the last index that is synced here, delivered the last one
-	// handed out to be applied.
+	// stable is the last index synced to the local disk; delivered is the last
+	// index handed out to be applied.
 	stable    uint64
 	delivered uint64
-	// keptCommit is the commit that the last hard state named.
-	keptCommit uint64
+	// hardCommit is the commit index in the last hard state.
+	hardCommit uint64
 
-	tick          uint64
-	elapsed       int
-	heartbeat     int
-	timeout       int
-	votes         map[ID]bool
-	progress      map[ID]*progress
-	broadcast     bool
-	uncommitted   int
-	commitAtBeat  uint64
-	transferee    ID
-	transferTicks int
-	// transferTick is when this term's leader last asked for a transfer, 0 for
-	// never.
+	tick              uint64
+	electionElapsed   int
+	heartbeatElapsed  int
+	electionTimeout   int
+	votes             map[ID]bool
+	progress          map[ID]*progress
+	appendsPending    bool
+	uncommittedBytes  int
+	commitAtHeartbeat uint64
+	transferee        ID
+	transferTicks     int
+	// transferTick is the tick at which this node, as leader of the current term,
+	// last requested a leadership transfer, 0 if it has not.
 	transferTick uint64
-	// heardTick is the highest tick of this term's leader that a heartbeat named.
-	heardTick uint64
-	restarted bool
-	reads     readQueue
+	// leaderTick is the highest tick received in a heartbeat of the current
+	// term's leader.
+	leaderTick uint64
+	restarted  bool
+	reads      readQueue
 
-	sequence  uint64
-	unsynced  []pendingSync
-	ready     Ready
-	hardDirty bool
+	sequence       uint64
+	unsynced       []pendingSync
+	ready          Ready
+	hardStateDirty bool
 }
 
-// pendingSync is what becomes true here once a Ready is synced.
+// pendingSync is the persistent state that is on disk once a Ready is synced.
 type pendingSync struct {
 	sequence  uint64
 	tick      uint64
@@ -56,7 +57,7 @@
 	lastTerm  uint64
 }
 
-// New returns a follower with the restored state.
+// New returns a node in the follower role with the restored state.
 func New(options Options, restored Restored) *Node {
 	options.setDefaults()
 	n := &Node{options: options, term: restored.HardState.Term, vote: restored.HardState.Vote}
@@ -75,19 +76,19 @@
 		n.configs.append(tail)
 	}
 	n.stable = n.log.lastIndex()
-	n.keptCommit = max(n.commit, restored.HardState.Commit)
-	n.commit = max(n.commit, min(n.keptCommit, n.stable))
+	n.hardCommit = max(n.commit, restored.HardState.Commit)
+	n.commit = max(n.commit, min(n.hardCommit, n.stable))
 	n.restarted = restored.HardState.Term > 0
 	n.becomeFollower(n.term, "")
 	return n
 }
 
-// Founding returns the state with which the first member founds a log.
+// Founding returns the snapshot with which the first member creates a log.
 func Founding(config Config, data []byte) Snapshot {
 	return Snapshot{Index: 1, Term: 1, Config: config, Data: data}
 }
 
-// Config is the configuration in effect.
+// Config returns the configuration in effect.
 func (n *Node) Config() Config { return n.configs.current() }
 
 // Tick advances the node's logical time by one.
@@ -97,44 +98,47 @@
 		n.tickLeader()
 		return
 	}
-	n.elapsed++
+	n.electionElapsed++
 	switch {
-	case n.elapsed < n.timeout:
+	case n.electionElapsed < n.electionTimeout:
 	case n.Config().Voter(n.options.ID):
-		n.elapsed = 0
-		if !n.diskHangs() {
+		n.electionElapsed = 0
+		if !n.diskStalled() {
 			n.startElection()
 		}
 	default:
-		// Callers must not be sent on to a leader that has gone silent.
+		// Callers must not be redirected to a leader that no longer sends
+		// heartbeats.
 		n.leader = ""
 	}
 }
 
 func (n *Node) tickLeader() {
-	// A leader on the small side of a partition would otherwise go on for as
-	// long as the partition lasts, and its callers would wait for commits that
-	// cannot come.
-	// One whose disk hangs would apply nothing, and its callers would wait too.
-	if config := n.Config(); n.reachableVoters(config) < config.Quorum() || n.diskHangs() {
+	// A leader on the minority side of a partition would otherwise remain leader
+	// for the whole partition, and its callers would wait for commits that cannot
+	// happen. A leader with a stalled disk applies nothing, so its callers would
+	// wait as well.
+	if config := n.Config(); n.reachableVoters(config) < config.Quorum() || n.diskStalled() {
 		n.becomeFollower(n.term, "")
 		return
 	}
 	n.tickTransfer()
-	n.heartbeat++
-	if n.heartbeat >= n.options.HeartbeatTicks {
-		n.heartbeat = 0
+	n.heartbeatElapsed++
+	if n.heartbeatElapsed >= n.options.HeartbeatTicks {
+		n.heartbeatElapsed = 0
 		n.sendHeartbeats()
 	}
 }
 
-// diskHangs reports whether a sync takes far longer than a disk should.
-func (n *Node) diskHangs() bool {
-	limit := uint64(hangTimeouts * n.options.ElectionTicks)
+// diskStalled reports whether the oldest pending sync has taken longer than
+// stallTimeouts election timeouts.
+func (n *Node) diskStalled() bool {
+	limit := uint64(stallTimeouts * n.options.ElectionTicks)
 	return len(n.unsynced) > 0 && n.tick-n.unsynced[0].tick > limit
 }
 
-// reachableVoters counts the voters that answered within an election timeout.
+// reachableVoters returns the number of voters, including this node, that
+// answered within an election timeout.
 func (n *Node) reachableVoters(config Config) int {
 	reachable := 0
 	for _, m := range config.Voters {
@@ -150,7 +154,7 @@
 	return p != nil && n.tick-p.contactTick <= uint64(n.options.ElectionTicks)
 }
 
-// Step takes a message into account.
+// Step processes a message from another member.
 func (n *Node) Step(m Message) {
 	if m.To != n.options.ID {
 		return
@@ -159,25 +163,26 @@
 		return
 	}
 	if m.Term < n.term {
-		n.answerStale(m)
+		n.rejectStale(m)
 		return
 	}
 	n.dispatch(m)
 }
 
-// enterTerm moves to a later term and reports whether the message counts.
+// enterTerm handles a message of a later term, moves to that term where the
+// message calls for it, and reports whether to process the message further.
 func (n *Node) enterTerm(m Message) bool {
 	switch m.Kind {
 	case KindPreVote, KindVote:
-		// A member that cannot hear the leader must not depose one that the
-		// others do hear.
-		if n.hearsLeader() && !n.transferCounts(m) {
+		// A member that receives no heartbeats must not depose a leader that the
+		// others still receive heartbeats from.
+		if n.inLease() && !n.transferValid(m) {
 			return false
 		}
 	}
 	switch {
 	case m.Kind == KindPreVote, m.Kind == KindPreVoteReply && !m.Reject:
-		// A pre-vote is a question about a term that nobody has entered.
+		// A pre-vote concerns a term that no member has entered yet.
 	case m.Kind == KindAppend, m.Kind == KindHeartbeat, m.Kind == KindSnapshot:
 		n.becomeFollower(m.Term, m.From)
 	default:
@@ -186,27 +191,28 @@
 	return true
 }
 
-// transferCounts reports whether a vote comes from a transfer that its leader
-// may still be waiting for. One that was under way for an election timeout must
-// not depose a leader that has given it up and relies on its lease again.
-func (n *Node) transferCounts(m Message) bool {
-	quiet := n.restarted && n.tick < uint64(n.options.ElectionTicks)
-	return m.Transfer && !quiet && n.heardTick < m.Sent+uint64(n.options.ElectionTicks)
+// transferValid reports whether a vote request results from a leadership
+// transfer that the leader may still be waiting for. A request delayed by an
+// election timeout must not depose a leader that has abandoned the transfer and
+// relies on its lease again.
+func (n *Node) transferValid(m Message) bool {
+	justRestarted := n.restarted && n.tick < uint64(n.options.ElectionTicks)
+	return m.Transfer && !justRestarted && n.leaderTick < m.Sent+uint64(n.options.ElectionTicks)
 }
 
-// hearsLeader reports whether another member may still count on this one to
-// refuse votes. A restarted member has forgotten whom it heard last, so it
-// waits for an election timeout.
-func (n *Node) hearsLeader() bool {
+// inLease reports whether a leader may still rely on this member to refuse
+// votes. A restarted member does not know when it last received a heartbeat, so
+// it refuses votes for one election timeout.
+func (n *Node) inLease() bool {
 	if n.restarted && n.tick < uint64(n.options.ElectionTicks) {
 		return true
 	}
-	return n.leader != "" && n.elapsed < n.options.ElectionTicks
+	return n.leader != "" && n.electionElapsed < n.options.ElectionTicks
 }
 
-// answerStale tells the sender of an earlier term about the present one. A
-// deposed leader would otherwise never hear from a member that is ahead of it.
-func (n *Node) answerStale(m Message) {
+// rejectStale informs the sender of a message of an earlier term of the current
+// term. A deposed leader would otherwise never learn that a member is ahead of it.
+func (n *Node) rejectStale(m Message) {
 	switch m.Kind {
 	case KindAppend, KindHeartbeat, KindSnapshot:
 		n.sendAfterSync(Message{Kind: KindAppendReply, To: m.From, Reject: true})
@@ -218,9 +224,9 @@
 func (n *Node) dispatch(m Message) {
 	switch m.Kind {
 	case KindPreVote, KindVote:
-		n.answerVote(m)
+		n.handleVote(m)
 	case KindPreVoteReply, KindVoteReply:
-		n.takeVote(m)
+		n.handleVoteReply(m)
 	case KindAppend, KindHeartbeat, KindSnapshot:
 		n.stepFollower(m)
 	case KindAppendReply, KindHeartbeatReply:
@@ -233,34 +239,35 @@
 }
 
 func (n *Node) send(m Message) {
-	n.address(&m)
+	n.setHeader(&m)
 	n.ready.Messages = append(n.ready.Messages, m)
 }
 
 func (n *Node) sendAfterSync(m Message) {
-	n.address(&m)
+	n.setHeader(&m)
 	n.ready.AfterSync = append(n.ready.AfterSync, m)
 }
 
-func (n *Node) address(m *Message) {
+func (n *Node) setHeader(m *Message) {
 	m.From = n.options.ID
 	if m.Term == 0 {
 		m.Term = n.term
 	}
 }
 
-// Ready returns the work since the last call, false when there is none.
+// Ready returns the work accumulated since the last call, or false if there is
+// none.
 func (n *Node) Ready() (Ready, bool) {
 	if n.role == Leader {
 		n.sendBatched()
 	}
 	n.deliver()
 	r := n.ready
-	if n.options.KeepCommit && n.delivered > n.keptCommit {
-		n.keptCommit, n.hardDirty = n.delivered, true
+	if n.options.KeepCommit && n.delivered > n.hardCommit {
+		n.hardCommit, n.hardStateDirty = n.delivered, true
 	}
-	if n.hardDirty {
-		r.HardState = &HardState{Term: n.term, Vote: n.vote, Commit: n.keptCommit}
+	if n.hardStateDirty {
+		r.HardState = &HardState{Term: n.term, Vote: n.vote, Commit: n.hardCommit}
 	}
 	if !r.NeedsSync() && len(r.Messages)+len(r.AfterSync)+len(r.Committed)+len(r.Reads)+len(r.FailedReads) == 0 {
 		return Ready{}, false
@@ -277,14 +284,15 @@
 			lastTerm:  n.log.lastTerm(),
 		})
 	}
-	n.ready, n.hardDirty = Ready{}, false
+	n.ready, n.hardStateDirty = Ready{}, false
 	return r, true
 }
 
-// sendBatched sends what several proposals and reads have in common.
+// sendBatched sends the appends and heartbeats shared by all proposals and reads
+// since the last Ready.
 func (n *Node) sendBatched() {
-	if n.broadcast {
-		n.broadcast = false
+	if n.appendsPending {
+		n.appendsPending = false
 		n.sendAppends()
 	}
 	if n.reads.unsent {
@@ -292,7 +300,7 @@
 	}
 }
 
-// deliver hands out entries that are committed and synced here.
+// deliver adds the entries that are committed and synced locally to the Ready.
 func (n *Node) deliver() {
 	last := min(n.commit, n.stable)
 	if last <= n.delivered {
@@ -302,15 +310,15 @@
 	n.delivered = last
 }
 
-// Synced reports that every Ready up to a sequence is on disk.
+// Synced tells the node that every Ready up to and including sequence is on disk.
 func (n *Node) Synced(sequence uint64) {
 	for len(n.unsynced) > 0 && n.unsynced[0].sequence <= sequence {
-		n.takeSync(n.unsynced[0])
+		n.handleSynced(n.unsynced[0])
 		n.unsynced = n.unsynced[1:]
 	}
 }
 
-func (n *Node) takeSync(s pendingSync) {
+func (n *Node) handleSynced(s pendingSync) {
 	if n.log.matches(s.lastIndex, s.lastTerm) {
 		n.stable = max(n.stable, s.lastIndex)
 	}
@@ -327,11 +335,11 @@
 	}
 }
 
-// appendEntries adds entries to the log and to what must be persisted.
+// appendEntries appends entries to the log and to the entries to persist.
 func (n *Node) appendEntries(entries []Entry) {
 	first := entries[0].Index
 	if first <= n.commit {
-		panic("an append would replace a committed entry")
+		panic("append would overwrite a committed entry")
 	}
 	n.log.append(entries)
 	n.configs.truncate(first)
@@ -341,11 +349,12 @@
 	n.ready.Entries = append(n.ready.Entries, entries...)
 }
 
-// Compact drops the entries before a snapshot of the applied state, but for
-// the trailing ones. The owner persists the snapshot first.
+// Compact drops the entries before a snapshot of the applied state, except for
+// Options.TrailingEntries. The caller must persist the returned snapshot before
+// it drops entries on disk.
 func (n *Node) Compact(index uint64, data []byte) Snapshot {
 	if index > n.delivered {
-		panic("a snapshot is ahead of what was handed out to be applied")
+		panic("snapshot index is beyond the last entry handed out to be applied")
 	}
 	term, ok := n.log.term(index)
 	if !ok {
@@ -360,7 +369,7 @@
 	return s
 }
 
-// SnapshotAt describes a snapshot at an entry that is still in the log.
+// SnapshotAt returns a snapshot at an entry that is still in the log.
 func (n *Node) SnapshotAt(index, term uint64, data []byte) Snapshot {
 	return Snapshot{Index: index, Term: term, Config: n.configs.at(index), Data: data}
 }
--- a/coord/replog/progress.go
+++ b/coord/replog/progress.go
@@ -3,7 +3,8 @@
 type progressState uint8
 
 const (
-	// stateProbe sends one append at a time until the logs' match is found.
+	// stateProbe sends one append at a time until the last matching entry of both
+	// logs is found.
 	stateProbe progressState = iota
 	// stateReplicate streams appends, up to MaxInflight.
 	stateReplicate
@@ -18,43 +19,45 @@
 	// first one to send.
 	match uint64
 	next  uint64
-	// paused is true while a probe is unanswered.
+	// paused is set while a probe is unanswered.
 	paused bool
 	// inflight holds the last index of each unacknowledged append.
 	inflight []uint64
-	// snapshotIndex and snapshotTick are those of the snapshot under way.
+	// snapshotIndex is the index of the snapshot being sent; snapshotTick is the
+	// tick at which it was sent.
 	snapshotIndex uint64
 	snapshotTick  uint64
-	// contactTick is when the leader sent the latest heartbeat that the member
-	// answered, or when it began to send while contacted is false. The time of
-	// an answer's arrival would not do: one that was under way for long tells
-	// nothing about whether its sender still lives.
+	// contactTick is the tick at which the leader sent the latest heartbeat that
+	// the member answered, or, while contacted is false, at which it started to
+	// track the member. The arrival time of a reply is not used because a delayed
+	// reply does not show that its sender is still alive.
 	contactTick uint64
 	contacted   bool
-	// confirmedRead is the highest read round that the member acknowledged.
+	// confirmedRead is the highest read round acknowledged by the member.
 	confirmedRead uint64
 }
 
-func (p *progress) probe() {
+func (p *progress) becomeProbe() {
 	p.state = stateProbe
 	p.next = p.match + 1
 	p.paused = false
 	p.inflight = nil
 }
 
-func (p *progress) replicate() {
-	p.probe()
+func (p *progress) becomeReplicate() {
+	p.becomeProbe()
 	p.state = stateReplicate
 }
 
-func (p *progress) waitForSnapshot(index, tick uint64) {
+func (p *progress) becomeSnapshot(index, tick uint64) {
 	p.state = stateSnapshot
 	p.snapshotIndex, p.snapshotTick = index, tick
 	p.next = index + 1
 	p.inflight = nil
 }
 
-// acknowledge takes a synced index into account and reports whether it is news.
+// acknowledge records an index synced by the member and reports whether match
+// advanced.
 func (p *progress) acknowledge(index uint64) bool {
 	p.next = max(p.next, index+1)
 	p.paused = false
@@ -79,7 +82,7 @@
 	}
 }
 
-func (p *progress) sent(last uint64, entries int) {
+func (p *progress) recordSent(last uint64, entries int) {
 	if p.state == stateProbe {
 		p.paused = true
 		return
--- a/coord/replog/read.go
+++ b/coord/replog/read.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// readQueue holds reads that a quorum has not confirmed yet.
+// readQueue holds the reads that a quorum has not confirmed yet.
 type readQueue struct {
-	// round numbers the heartbeats; one that was sent after a read arrived
-	// confirms it.
+	// round is the number of the latest read round. A heartbeat with the round of
+	// a read, sent after the read arrived, confirms it.
 	round   uint64
 	pending []pendingRead
-	// unsent is true while the latest round waits for the next heartbeat.
+	// unsent is set while no heartbeat carries the latest round yet.
 	unsent bool
 }
 
@@ -28,8 +28,9 @@
 	return failed
 }
 
-// ReadIndex asks for the index that a linearizable read must wait for; the
-// answer comes in Ready.Reads or Ready.FailedReads. The ID is the caller's.
+// ReadIndex requests the index that a linearizable read must wait for. The
+// result is returned in Ready.Reads or Ready.FailedReads under the ID, which
+// the caller chooses.
 func (n *Node) ReadIndex(id uint64) error {
 	if n.role != Leader {
 		return ErrNotLeader
@@ -47,8 +48,8 @@
 	return nil
 }
 
-// confirmReads answers the reads that a quorum has confirmed. A deposed leader
-// that does not know it yet would otherwise answer with old state.
+// confirmReads completes the reads that a quorum has confirmed. A leader unaware
+// that it was deposed would otherwise return stale state.
 func (n *Node) confirmReads() {
 	if term, ok := n.log.term(n.commit); !ok || term != n.term {
 		return
@@ -72,8 +73,8 @@
 	return n.quorumValue(n.reads.round, func(p *progress) uint64 { return p.confirmedRead })
 }
 
-// quorumValue is the highest value that a quorum of voters has reached; own is
-// this node's value.
+// quorumValue returns the highest value reached by a quorum of voters; own is
+// the value of this node.
 func (n *Node) quorumValue(own uint64, value func(*progress) uint64) uint64 {
 	config := n.Config()
 	if len(config.Voters) == 0 {
--- a/coord/replog/replication.go
+++ b/coord/replog/replication.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// Propose appends a command. The returned index and term identify the entry:
-// it is committed once an entry with both is handed out.
+// Propose appends a command to the log. The returned index and term identify the
+// entry: it is committed once Ready returns an entry with both in Committed.
 func (n *Node) Propose(data []byte) (index, term uint64, err error) {
 	switch {
 	case n.role != Leader:
 		return 0, 0, ErrNotLeader
 	case n.transferee != "":
 		return 0, 0, ErrTransferring
-	case n.uncommitted+len(data) > n.options.MaxUncommittedBytes:
+	case n.uncommittedBytes+len(data) > n.options.MaxUncommittedBytes:
 		return 0, 0, ErrBusy
 	}
 	return n.appendOwn(Entry{Data: data}), n.term, nil
@@ -19,8 +19,8 @@
 func (n *Node) appendOwn(e Entry) uint64 {
 	e.Index, e.Term = n.log.lastIndex()+1, n.term
 	n.appendEntries([]Entry{e})
-	n.uncommitted += len(e.Data)
-	n.broadcast = true
+	n.uncommittedBytes += len(e.Data)
+	n.appendsPending = true
 	return e.Index
 }
 
@@ -32,8 +32,8 @@
 	}
 }
 
-// sendAppend sends what a member lacks, as far as its window allows; force
-// sends an append without entries too.
+// sendAppend sends the entries that a member lacks, up to its in-flight window.
+// With force, it sends an append even if it has no entries.
 func (n *Node) sendAppend(to ID, force bool) {
 	p := n.progress[to]
 	for p != nil && !p.blocked(n.options.MaxInflight) && (force || p.next <= n.log.lastIndex()) {
@@ -48,28 +48,28 @@
 			Kind: KindAppend, To: to, Index: p.next - 1, LogTerm: previous,
 			Entries: entries, Commit: n.commit,
 		})
-		p.sent(p.next-1+uint64(len(entries)), len(entries))
+		p.recordSent(p.next-1+uint64(len(entries)), len(entries))
 	}
 }
 
 func (n *Node) sendSnapshot(to ID, p *progress) {
 	if n.snapshot == nil {
-		panic("the log is compacted without a snapshot")
+		panic("log is compacted but there is no snapshot")
 	}
-	p.waitForSnapshot(n.snapshot.Index, n.tick)
+	p.becomeSnapshot(n.snapshot.Index, n.tick)
 	n.send(Message{Kind: KindSnapshot, To: to, Snapshot: n.snapshot})
 }
 
 func (n *Node) sendHeartbeats() {
-	n.commitAtBeat = n.commit
-	n.heardTick = n.tick
+	n.commitAtHeartbeat = n.commit
+	n.leaderTick = n.tick
 	n.reads.unsent = false
 	for _, m := range n.Config().Members() {
 		p := n.progress[m.ID]
 		if m.ID == n.options.ID || p == nil {
 			continue
 		}
-		// A member must not commit past what it is known to share.
+		// A member must not commit entries beyond the known match of its log.
 		n.send(Message{Kind: KindHeartbeat, To: m.ID, Commit: min(p.match, n.commit), Read: n.reads.round, Sent: n.tick})
 	}
 }
@@ -81,26 +81,26 @@
 	}
 	switch {
 	case m.Kind == KindHeartbeatReply:
-		n.takeHeartbeatReply(m, p)
+		n.handleHeartbeatReply(m, p)
 	case m.Reject:
-		n.takeRejection(m, p)
+		n.handleAppendReject(m, p)
 	default:
-		n.takeAcknowledgement(m, p)
+		n.handleAppendAck(m, p)
 	}
 }
 
-func (n *Node) takeHeartbeatReply(m Message, p *progress) {
+func (n *Node) handleHeartbeatReply(m Message, p *progress) {
 	p.contacted, p.contactTick = true, max(p.contactTick, m.Sent)
 	p.confirmedRead = max(p.confirmedRead, m.Read)
 	n.confirmReads()
 	p.paused = false
-	n.repair(m.From, p)
+	n.resumeAppends(m.From, p)
 }
 
-// repair restarts the flow to a member after lost messages.
-func (n *Node) repair(to ID, p *progress) {
+// resumeAppends resumes replication to a member after messages were lost.
+func (n *Node) resumeAppends(to ID, p *progress) {
 	if p.state == stateSnapshot && n.tick-p.snapshotTick >= uint64(n.snapshotRetryTicks()) {
-		p.probe()
+		p.becomeProbe()
 	}
 	if p.state == stateReplicate && len(p.inflight) >= n.options.MaxInflight {
 		p.inflight = p.inflight[1:]
@@ -110,40 +110,41 @@
 	}
 }
 
-// snapshotRetryTicks gives a large snapshot time to arrive and to be synced.
+// snapshotRetryTicks returns how many ticks to wait before a snapshot is sent
+// again, which leaves a large one time to arrive and to be synced.
 func (n *Node) snapshotRetryTicks() int { return 4 * n.options.ElectionTicks }
 
-func (n *Node) takeRejection(m Message, p *progress) {
+func (n *Node) handleAppendReject(m Message, p *progress) {
 	stale := m.Index <= p.match || p.state == stateProbe && m.Index != p.next-1
 	if stale {
 		return
 	}
 	index, _ := n.log.conflict(m.HintIndex, m.HintTerm)
-	p.probe()
+	p.becomeProbe()
 	p.next = max(index, p.match) + 1
 	n.sendAppend(m.From, true)
 }
 
-func (n *Node) takeAcknowledgement(m Message, p *progress) {
-	news := p.acknowledge(m.Index)
+func (n *Node) handleAppendAck(m Message, p *progress) {
+	advanced := p.acknowledge(m.Index)
 	switch {
-	case p.state == stateProbe && news:
-		p.replicate()
+	case p.state == stateProbe && advanced:
+		p.becomeReplicate()
 	case p.state == stateProbe && m.Index == p.match && p.match > 0:
-		p.replicate()
+		p.becomeReplicate()
 	case p.state == stateSnapshot && p.match >= p.snapshotIndex:
-		p.replicate()
+		p.becomeReplicate()
 	}
-	if news {
+	if advanced {
 		n.advanceCommit()
 	}
 	n.sendAppend(m.From, false)
 	n.continueTransfer(m.From)
 }
 
-// advanceCommit commits what a quorum has synced. Only an entry of the
-// leader's own term is counted: an older one on a quorum can still be replaced
-// by another leader's.
+// advanceCommit commits the entries that a quorum has synced. Only an entry of
+// the leader's own term is counted: an entry of an earlier term can still be
+// overwritten by another leader even if a quorum has it.
 func (n *Node) advanceCommit() {
 	config := n.Config()
 	matches := make([]uint64, 0, len(config.Voters))
@@ -160,8 +161,8 @@
 		return
 	}
 	n.commit = index
-	n.uncommitted = n.log.bytesAfter(index)
-	n.broadcast = true
+	n.uncommittedBytes = n.log.bytesAfter(index)
+	n.appendsPending = true
 	if n.options.TellCommit {
 		n.sendHeartbeats()
 	}
--- a/coord/replog/schedule_test.go
+++ b/coord/replog/schedule_test.go
@@ -11,15 +11,17 @@
 
 const (
 	scheduleUnits = 2500
-	// settleUnits is how long a healed log gets to elect a leader and commit.
-	settleUnits   = 1500
+	// healUnits is the time limit for electing a leader and committing an entry
+	// after all faults have ended.
+	healUnits     = 1500
 	probeUnits    = 100
 	unknownOutput = math.MaxUint64
 	schedules     = 4000
 	shards        = 8
 )
 
-// register is the sequential specification: swap returns the previous value.
+// register is the sequential specification of a register whose swap returns the
+// previous value.
 var register = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
@@ -31,57 +33,57 @@
 	},
 }
 
-// schedule drives a world through seeded faults.
+// schedule runs a simulation with seeded random faults.
 type schedule struct {
-	*world
+	*simulation
 	replacements int
 	lastLoss     int64
 }
 
-// run returns the first broken rule, empty when there is none.
-func run(seed uint64, s sabotage) string { return runWith(seed, false, s) }
+// run runs a schedule and returns the first violated rule, empty if there is none.
+func run(seed uint64, f ioFaults) string { return runKeep(seed, false, f) }
 
-// runWith runs members that keep their commit, or not.
-func runWith(seed uint64, keep bool, s sabotage) string { return runTelling(seed, keep, false, s) }
+// runKeep is like run with the given Options.KeepCommit.
+func runKeep(seed uint64, keep bool, f ioFaults) string { return runOptions(seed, keep, false, f) }
 
-// runTelling runs members whose leader tells of commits at once, or not.
-func runTelling(seed uint64, keep, tell bool, s sabotage) string {
+// runOptions is like run with the given Options.KeepCommit and Options.TellCommit.
+func runOptions(seed uint64, keepCommit, tellCommit bool, f ioFaults) string {
 	voters := []int{3, 3, 3, 5, 1}[seed%5]
-	window := []int{1, 100, 1000}[seed%3]
-	calm := []int{60, 25}[seed%2]
-	storm := seed%7 == 0
-	w := &schedule{world: newWorld(seed, voters, window, keep, tell, s)}
-	for w.now < scheduleUnits && w.failure == "" {
-		w.step()
-		if w.random.IntN(20) == 0 {
-			w.call()
+	maxAppendBytes := []int{1, 100, 1000}[seed%3]
+	faultInterval := []int{60, 25}[seed%2]
+	electionChurn := seed%7 == 0
+	s := &schedule{simulation: newSimulation(seed, voters, maxAppendBytes, keepCommit, tellCommit, f)}
+	for s.now < scheduleUnits && s.failure == "" {
+		s.step()
+		if s.random.IntN(20) == 0 {
+			s.clientCall()
 		}
-		if storm {
-			w.stormElections()
-		} else if w.random.IntN(calm) == 0 {
-			w.fault()
+		if electionChurn {
+			s.churnElections()
+		} else if s.random.IntN(faultInterval) == 0 {
+			s.fault()
 		}
 	}
-	w.settle()
-	return w.verdict()
+	s.heal()
+	return s.check()
 }
 
-// stormElections crashes each new leader soon, so that several terms' entries
-// lie uncommitted on different members.
-func (w *schedule) stormElections() {
-	w.lossy = 0.1
-	down := w.down()
-	if l := w.leader(); l != nil && w.random.IntN(12) == 0 && len(down) < 2 {
+// churnElections crashes new leaders after a short time, so that different members
+// have uncommitted entries of several terms.
+func (s *schedule) churnElections() {
+	s.lossRate = 0.1
+	down := s.down()
+	if l := s.leader(); l != nil && s.random.IntN(12) == 0 && len(down) < 2 {
 		l.crash()
 	}
-	if len(down) > 0 && w.random.IntN(60) == 0 {
-		down[w.random.IntN(len(down))].start()
+	if len(down) > 0 && s.random.IntN(60) == 0 {
+		down[s.random.IntN(len(down))].start()
 	}
 }
 
-func (w *schedule) down() []*process {
+func (s *schedule) down() []*process {
 	var down []*process
-	for _, p := range w.processes {
+	for _, p := range s.processes {
 		if !p.up {
 			down = append(down, p)
 		}
@@ -89,177 +91,176 @@
 	return down
 }
 
-// fault does one random thing to the members or the network.
-func (w *schedule) fault() {
-	p := w.processes[w.random.IntN(len(w.processes))]
-	q := w.processes[w.random.IntN(len(w.processes))]
-	switch w.random.IntN(14) {
+// fault injects one random fault or change into the members or the network.
+func (s *schedule) fault() {
+	p := s.processes[s.random.IntN(len(s.processes))]
+	q := s.processes[s.random.IntN(len(s.processes))]
+	switch s.random.IntN(14) {
 	case 0:
-		w.cut[[2]ID{p.id, q.id}] = true
+		s.cutLinks[[2]ID{p.id, q.id}] = true
 	case 1:
-		if l := w.leader(); l != nil {
-			w.isolate(l)
+		if l := s.leader(); l != nil {
+			s.isolate(l)
 		}
 	case 2:
-		w.split()
+		s.split()
 	case 3, 4:
-		clear(w.cut)
+		clear(s.cutLinks)
 	case 5, 6:
 		if p.up {
 			p.crash()
 		}
 	case 7, 8:
-		if !p.up && !w.lost(p) {
+		if !p.up && !s.diskLost(p) {
 			p.start()
 		}
 	case 9:
-		w.lossy = []float64{0, 0.05, 0.3}[w.random.IntN(3)]
+		s.lossRate = []float64{0, 0.05, 0.3}[s.random.IntN(3)]
 	case 10:
 		if p.up {
 			p.compact()
 		}
 	case 11:
-		if l := w.leader(); l != nil {
+		if l := s.leader(); l != nil {
 			_ = l.node.TransferLeadership(p.id)
-			l.work()
+			l.processReady()
 		}
 	case 12:
-		w.loseDisk()
+		s.loseDisk()
 	case 13:
-		w.changeMembers()
+		s.changeMembers()
 	}
 }
 
-func (w *schedule) isolate(p *process) {
-	for _, other := range w.processes {
-		w.cut[[2]ID{p.id, other.id}] = true
-		w.cut[[2]ID{other.id, p.id}] = true
+func (s *schedule) isolate(p *process) {
+	for _, other := range s.processes {
+		s.cutLinks[[2]ID{p.id, other.id}] = true
+		s.cutLinks[[2]ID{other.id, p.id}] = true
 	}
 }
 
-func (w *schedule) split() {
-	for _, p := range w.processes {
-		for _, q := range w.processes {
-			if p != q && w.random.IntN(2) == 0 {
-				w.cut[[2]ID{p.id, q.id}] = true
-				w.cut[[2]ID{q.id, p.id}] = true
+func (s *schedule) split() {
+	for _, p := range s.processes {
+		for _, q := range s.processes {
+			if p != q && s.random.IntN(2) == 0 {
+				s.cutLinks[[2]ID{p.id, q.id}] = true
+				s.cutLinks[[2]ID{q.id, p.id}] = true
 			}
 		}
 	}
 }
 
-// lost is true for an identity whose disk is gone.
-func (w *schedule) lost(p *process) bool { return p.offset < 0 }
+// diskLost reports whether the disk of the member is lost.
+func (s *schedule) diskLost(p *process) bool { return p.offset < 0 }
 
-// loseDisk takes the disk of a voter away for good when the leader says that
-// the log survives it; the instance comes back with an empty one.
-func (w *schedule) loseDisk() {
-	l := w.leader()
+// loseDisk destroys the disk of a voter if the leader reports that the loss is
+// survivable; a replacement starts with an empty disk.
+func (s *schedule) loseDisk() {
+	l := s.leader()
 	if l == nil {
 		return
 	}
 	status := l.node.Status()
-	noticed := w.now-w.lastLoss > (defaultElectionTicks+1)*unitsPerTick
-	if status.Survivable < 1 || status.LeaseTicks == 0 || !noticed {
+	lossDetected := s.now-s.lastLoss > (defaultElectionTicks+1)*unitsPerTick
+	if status.Survivable < 1 || status.LeaseTicks == 0 || !lossDetected {
 		return
 	}
 	voters := status.Config.Voters
-	p := w.process(voters[w.random.IntN(len(voters))].ID)
-	if w.lost(p) {
+	p := s.process(voters[s.random.IntN(len(voters))].ID)
+	if s.diskLost(p) {
 		return
 	}
 	if p.up {
 		p.crash()
 	}
-	if w.sabotage.lostDiskKeepsID {
+	if s.faults.lostDiskKeepsID {
 		p.disk = disk{}
 		p.start()
 		return
 	}
-	p.offset, w.lastLoss = -1, w.now
-	w.replacements++
-	w.add(ID(fmt.Sprintf("r%d", w.replacements)))
+	p.offset, s.lastLoss = -1, s.now
+	s.replacements++
+	s.add(ID(fmt.Sprintf("r%d", s.replacements)))
 }
 
-// changeMembers does one random step of an operator: add a new instance,
-// promote a learner, remove a lost member or any other.
-func (w *schedule) changeMembers() {
-	l := w.leader()
+// changeMembers performs random operator actions: add a new member, promote a
+// learner, or remove a lost or any other member.
+func (s *schedule) changeMembers() {
+	l := s.leader()
 	if l == nil {
 		return
 	}
-	defer l.work()
+	defer l.processReady()
 	config := l.node.Config()
-	for range 1 + w.random.IntN(3) {
-		p := w.processes[w.random.IntN(len(w.processes))]
+	for range 1 + s.random.IntN(3) {
+		p := s.processes[s.random.IntN(len(s.processes))]
 		switch {
-		case w.lost(p) || config.Voter(p.id) && len(config.Voters) > 3:
+		case s.diskLost(p) || config.Voter(p.id) && len(config.Voters) > 3:
 			_, _, _ = l.node.Remove(p.id)
 		case config.Learner(p.id):
 			_, _, _ = l.node.Promote(p.id)
-		case !config.Voter(p.id) && p.up && len(w.processes) <= 9:
+		case !config.Voter(p.id) && p.up && len(s.processes) <= 9:
 			_, _, _ = l.node.AddLearner(Member{ID: p.id})
-		case len(w.processes) < 6 && w.random.IntN(2) == 0:
-			w.replacements++
-			w.add(ID(fmt.Sprintf("r%d", w.replacements)))
+		case len(s.processes) < 6 && s.random.IntN(2) == 0:
+			s.replacements++
+			s.add(ID(fmt.Sprintf("r%d", s.replacements)))
 		}
 	}
 }
 
-// settle ends all faults; the log must then commit again.
-func (w *schedule) settle() {
-	clear(w.cut)
-	w.lossy = 0
-	for _, p := range w.processes {
-		if !p.up && !w.lost(p) {
+// heal ends all faults and fails if the log does not commit afterwards.
+func (s *schedule) heal() {
+	clear(s.cutLinks)
+	s.lossRate = 0
+	for _, p := range s.processes {
+		if !p.up && !s.diskLost(p) {
 			p.start()
 		}
 	}
 	var probe *operation
-	for end := w.now + settleUnits; w.now < end && w.failure == ""; {
-		w.step()
-		if l := w.leader(); l != nil && w.now%probeUnits == 0 {
+	for end := s.now + healUnits; s.now < end && s.failure == ""; {
+		s.step()
+		if l := s.leader(); l != nil && s.now%probeUnits == 0 {
 			probe = l.swap()
-			l.work()
+			l.processReady()
 		}
-		if probe != nil && w.recorded(probe) {
+		if probe != nil && s.recorded(probe) {
 			return
 		}
 	}
-	w.fail("no swap was committed after all faults had ended")
+	s.fail("no swap was committed after all faults ended")
 }
 
-func (w *schedule) recorded(o *operation) bool {
-	return slices.ContainsFunc(w.history, func(h porcupine.Operation) bool {
+func (s *schedule) recorded(o *operation) bool {
+	return slices.ContainsFunc(s.history, func(h porcupine.Operation) bool {
 		return h.Input.(operation).swap == o.swap && h.Return != math.MaxInt64
 	})
 }
 
-func (w *schedule) verdict() string {
-	if w.failure != "" {
-		return w.failure
+func (s *schedule) check() string {
+	if s.failure != "" {
+		return s.failure
 	}
-	for _, p := range w.processes {
+	for _, p := range s.processes {
 		for _, o := range p.proposed {
-			w.unknown(o)
+			s.recordUnknown(o)
 		}
 	}
-	if !porcupine.CheckOperations(register, w.history) {
+	if !porcupine.CheckOperations(register, s.history) {
 		return "the history is not linearizable"
 	}
 	return ""
 }
 
-// A control instance crashes, loses its disk or is cut off at any moment,
-// twice or together with others. A user would notice a change that was
-// accepted and is gone, an old value after a new one, or no leader after all is
-// well again.
+// Members crash, lose their disks or are partitioned at any moment, repeatedly or
+// together. No accepted change may be lost, no stale value may be read after a
+// newer one, and a leader must be elected once all faults have ended.
 func TestLogHoldsUnderSeededFaults(t *testing.T) {
 	for shard := range uint64(shards) {
 		t.Run(fmt.Sprint(shard), func(t *testing.T) {
 			t.Parallel()
 			for seed := shard; seed < schedules; seed += shards {
-				if failure := run(seed, sabotage{}); failure != "" {
+				if failure := run(seed, ioFaults{}); failure != "" {
 					t.Fatalf("seed %d: %s", seed, failure)
 				}
 			}
@@ -267,16 +268,16 @@
 	}
 }
 
-// Members crash while commits are on their way to their disks. One that restarts must go on from all that it had
-// applied, before it hears a leader: its users would otherwise see an accepted change undone.
+// Members crash while commits are being written to disk. A restarted member must resume with all entries that it had
+// applied, before it has contact with a leader: its clients would otherwise see an accepted change undone.
 func TestARestartedMemberGoesOnFromWhatItHadApplied(t *testing.T) {
 	for shard := range uint64(shards) {
 		t.Run(fmt.Sprint(shard), func(t *testing.T) {
 			t.Parallel()
 			for seed := shard; seed < schedules; seed += shards {
-				for _, tell := range []bool{false, true} {
-					if failure := runTelling(seed, true, tell, sabotage{}); failure != "" {
-						t.Fatalf("seed %d, commits told at once %v: %s", seed, tell, failure)
+				for _, tellCommit := range []bool{false, true} {
+					if failure := runOptions(seed, true, tellCommit, ioFaults{}); failure != "" {
+						t.Fatalf("seed %d, TellCommit %v: %s", seed, tellCommit, failure)
 					}
 				}
 			}
@@ -284,11 +285,11 @@
 	}
 }
 
-// An owner that applies a commit before it is on disk goes back when it restarts.
-func TestSchedulesCatchACommitAppliedTooSoon(t *testing.T) {
+// A caller that applies a commit before it is synced loses it in a restart. The schedules must detect this.
+func TestSchedulesDetectCommitAppliedBeforeSync(t *testing.T) {
 	const seed = 6
-	if failure := runWith(seed, true, sabotage{applyBeforeSync: true}); failure == "" {
-		t.Errorf("seed %d shows nothing", seed)
+	if failure := runKeep(seed, true, ioFaults{applyBeforeSync: true}); failure == "" {
+		t.Errorf("seed %d does not detect the fault", seed)
 	} else {
 		t.Log(failure)
 	}
--- a/coord/replog/status.go
+++ b/coord/replog/status.go
@@ -1,18 +1,18 @@
 package replog
 
-// MemberStatus is what a leader knows of one member.
+// MemberStatus describes a member as seen by the leader.
 type MemberStatus struct {
 	Member
 	Voter bool `json:"voter"`
-	// Match is the last index that is synced there; Lag counts the entries
-	// that are still missing.
+	// Match is the last index known to be synced by the member; Lag is the number
+	// of entries that it lacks.
 	Match uint64 `json:"match"`
 	Lag   uint64 `json:"lag"`
-	// ContactTicks is the age of the latest heartbeat that it answered, -1 when
-	// it never answered.
+	// ContactTicks is the age in ticks of the latest heartbeat that the member
+	// answered, or -1 if it has not answered any.
 	ContactTicks int64 `json:"contactTicks"`
-	// CaughtUp is true when it answers and has synced everything that was
-	// committed a heartbeat ago.
+	// CaughtUp reports whether the member is reachable and has synced every entry
+	// that was committed at the last heartbeat.
 	CaughtUp bool `json:"caughtUp"`
 }
 
@@ -22,38 +22,38 @@
 	Role   Role   `json:"role"`
 	Term   uint64 `json:"term"`
 	Leader ID     `json:"leader,omitempty"`
-	// Commit, Applied, Last and First are indexes: of the last committed entry,
-	// the last one handed out by a Ready, and the ends of the log in memory.
+	// Commit is the index of the last committed entry, Applied of the last entry
+	// handed out by a Ready, and Last and First of the ends of the log in memory.
 	Commit  uint64 `json:"commit"`
 	Applied uint64 `json:"applied"`
 	Last    uint64 `json:"last"`
 	First   uint64 `json:"first"`
 	Config  Config `json:"config"`
-	// LeaseTicks is how much longer no other leader can have been elected,
-	// provided that clocks run alike; 0 when this node is not the leader or
-	// has asked for a transfer that may still succeed.
+	// LeaseTicks is the number of ticks for which no other leader can be elected,
+	// provided that clocks run at the same rate. It is 0 if this node is not the
+	// leader or has requested a transfer that may still succeed.
 	LeaseTicks uint64 `json:"leaseTicks"`
-	// Members is filled by the leader only.
+	// Members is set by the leader only.
 	Members []MemberStatus `json:"members,omitempty"`
-	// Survivable is how many further voters may be lost now without losing
-	// the quorum or a committed entry; filled by the leader only. It notices a
-	// silent loss an election timeout late.
+	// Survivable is the number of further voters that can be lost without losing
+	// the quorum or a committed entry; set by the leader only. It reflects an
+	// undetected loss only after an election timeout.
 	Survivable int `json:"survivable"`
 }
 
-// Role is what the node does now.
+// Role returns the node's current role.
 func (n *Node) Role() Role { return n.role }
 
-// Leader is the leader that the node follows, empty when it knows none.
+// Leader returns the ID of the current leader, empty if it is unknown.
 func (n *Node) Leader() ID { return n.leader }
 
-// Term is the node's current term.
+// Term returns the node's current term.
 func (n *Node) Term() uint64 { return n.term }
 
-// LastIndex is the index of the last entry, committed or not.
+// LastIndex returns the index of the last entry, committed or not.
 func (n *Node) LastIndex() uint64 { return n.log.lastIndex() }
 
-// Status returns the node's present state.
+// Status returns the node's current status.
 func (n *Node) Status() Status {
 	s := Status{
 		ID: n.options.ID, Role: n.role, Term: n.term, Leader: n.leader,
@@ -67,7 +67,8 @@
 	for _, m := range s.Config.Members() {
 		s.Members = append(s.Members, n.memberStatus(m))
 	}
-	// While a change is not committed, the next leader may have either side of it.
+	// While a membership change is uncommitted, the next leader may have the
+	// configuration before or after it.
 	s.Survivable = min(n.survivable(s.Config), n.survivable(n.configs.at(n.commit)))
 	return s
 }
@@ -102,13 +103,13 @@
 		}
 		return p.contactTick
 	})
-	// Voters may follow a transfer until they have heard from the leader an
-	// election timeout after it.
+	// Voters may accept a transfer until they receive a heartbeat that the leader
+	// sent at least an election timeout after requesting it.
 	transferring := n.transferTick > 0 && sent < n.transferTick+uint64(n.options.ElectionTicks)
 	if sent == 0 || transferring {
 		return 0
 	}
-	// A voter's next tick may come right after the heartbeat.
+	// One tick less: a voter's next tick may follow the heartbeat immediately.
 	end := sent + uint64(n.options.ElectionTicks) - 1
 	return end - min(end, n.tick)
 }
--- a/coord/replog/types.go
+++ b/coord/replog/types.go
@@ -1,10 +1,10 @@
-// Package replog is the core of a replicated log: a pure state machine in the
-// manner of Raft.
+// Package replog implements the core of a replicated log: a pure state machine
+// based on Raft.
 //
 // Messages, ticks and proposals go in; Ready values come out. The package has
-// no clock, goroutine, socket, file or global random source. Its owner
-// persists what a Ready names, sends its messages, applies its committed
-// entries and reports syncs back with Synced. Elections use pre-vote, a leader
+// no clock, goroutine, socket, file or global random source. The caller
+// persists the state in a Ready, sends its messages, applies its committed
+// entries and reports completed syncs with Synced. Elections use pre-vote, a leader
 // steps down when it loses its quorum, reads are confirmed by a quorum, and
 // membership changes one member at a time.
 package replog
@@ -16,39 +16,40 @@
 	"github.com/pkg/errors"
 )
 
-// ID identifies a member: its name and the random incarnation that was created
-// with its data folder. A folder that is lost takes its ID with it, so that an
-// instance which forgot its vote can never vote again under the same ID.
+// ID identifies a member: its name and the random incarnation created with its
+// data folder. If the folder is lost, the ID is lost with it, so that an
+// instance that lost its vote can never vote again under the same ID.
 type ID string
 
 // Member is one member of the log.
 type Member struct {
 	ID ID `json:"id"`
-	// Address is where the other members send messages.
+	// Address is the address to which other members send messages.
 	Address string `json:"address"`
 }
 
-// Entry is one record of the log. An entry with neither data nor a
-// configuration is the one with which a leader opens its term.
+// Entry is one record of the log. A leader starts its term with an entry that
+// has neither data nor a configuration.
 type Entry struct {
 	Index uint64 `json:"index"`
 	Term  uint64 `json:"term"`
-	// Config is set for a membership change. It is in effect once appended.
+	// Config is set for a membership change. It takes effect once appended.
 	Config *Config `json:"config,omitempty"`
 	// Data is a command for the state machine.
 	Data []byte `json:"data,omitempty"`
 }
 
-// HardState must be synced before any message that depends on it is sent.
+// HardState is the state that must be synced before any message that depends on
+// it is sent.
 type HardState struct {
 	Term uint64 `json:"term"`
 	Vote ID     `json:"vote,omitempty"`
-	// Commit is the last entry known to be committed and synced here; 0 where
-	// Options.KeepCommit is not set.
+	// Commit is the index of the last entry known to be committed and synced
+	// locally; 0 if Options.KeepCommit is not set.
 	Commit uint64 `json:"commit,omitempty"`
 }
 
-// Snapshot is the state after the entry at Index.
+// Snapshot is the state machine's state after the entry at Index.
 type Snapshot struct {
 	Index  uint64 `json:"index"`
 	Term   uint64 `json:"term"`
@@ -56,7 +57,7 @@
 	Data   []byte `json:"data,omitempty"`
 }
 
-// Restored is what a restarted member read back from its disk.
+// Restored is the persistent state that a restarted member read from its disk.
 type Restored struct {
 	HardState HardState
 	Snapshot  *Snapshot
@@ -64,10 +65,10 @@
 	Entries []Entry
 }
 
-// Kind is the kind of a message.
+// Kind is the type of a message.
 type Kind uint8
 
-// The kinds of message.
+// The types of messages.
 const (
 	KindPreVote Kind = iota + 1
 	KindPreVoteReply
@@ -81,68 +82,71 @@
 	KindTimeoutNow
 )
 
-// Message goes from one member to another.
+// Message is sent from one member to another.
 type Message struct {
 	Kind Kind   `json:"kind"`
 	From ID     `json:"from"`
 	To   ID     `json:"to"`
 	Term uint64 `json:"term"`
-	// Index and LogTerm name the entry before Entries, the sender's last entry
-	// in a vote, or the acknowledged index in a reply.
+	// Index and LogTerm identify the entry before Entries or, in a vote request,
+	// the sender's last entry. In a reply, Index is the acknowledged index.
 	Index   uint64  `json:"index,omitempty"`
 	LogTerm uint64  `json:"logTerm,omitempty"`
 	Entries []Entry `json:"entries,omitempty"`
 	Commit  uint64  `json:"commit,omitempty"`
 	Reject  bool    `json:"reject,omitempty"`
-	// HintIndex and HintTerm tell the leader where a rejecting log may match.
+	// HintIndex and HintTerm tell the leader of a rejected append where the
+	// member's log may match.
 	HintIndex uint64    `json:"hintIndex,omitempty"`
 	HintTerm  uint64    `json:"hintTerm,omitempty"`
 	Snapshot  *Snapshot `json:"snapshot,omitempty"`
 	// Read is the read round that a heartbeat confirms.
 	Read uint64 `json:"read,omitempty"`
-	// Sent is the leader's tick when it sent a heartbeat, echoed by the reply,
-	// or when it asked for the transfer that a vote comes from.
+	// Sent is the leader's tick when it sent a heartbeat, echoed in the reply, or
+	// when it requested the transfer that caused a vote request.
 	Sent uint64 `json:"sent,omitempty"`
-	// Transfer marks a vote that the leader itself asked for.
+	// Transfer marks a vote request that results from a leadership transfer.
 	Transfer bool `json:"transfer,omitempty"`
 }
 
-// Ready is the work that the owner must do.
+// Ready is the work that the caller must do.
 type Ready struct {
-	// Sequence is reported back by Synced.
+	// Sequence is passed to Synced once the Ready is synced.
 	Sequence uint64
-	// HardState is nil when unchanged.
+	// HardState is nil if unchanged.
 	HardState *HardState
 	// Snapshot replaces the log up to its index and the state machine's state.
 	Snapshot *Snapshot
-	// Entries are appended after every entry at and after the first one's
-	// index has been dropped.
+	// Entries are appended to the log after dropping all entries at and after the
+	// index of the first one.
 	Entries []Entry
-	// Messages may be sent at once.
+	// Messages can be sent immediately.
 	Messages []Message
-	// AfterSync may only be sent once this Ready and all earlier ones are synced.
+	// AfterSync holds messages to send only once this Ready and all earlier ones
+	// are synced.
 	AfterSync []Message
-	// Committed are applied in order.
+	// Committed holds entries to apply in order.
 	Committed []Entry
-	// Reads were confirmed by a quorum.
+	// Reads holds the reads confirmed by a quorum.
 	Reads []Read
-	// FailedReads are reads whose leader lost its leadership.
+	// FailedReads holds the IDs of reads that failed because the node lost its
+	// leadership.
 	FailedReads []uint64
 }
 
-// NeedsSync reports whether the Ready holds something to persist.
+// NeedsSync reports whether the Ready contains state to persist.
 func (r Ready) NeedsSync() bool {
 	return r.HardState != nil || r.Snapshot != nil || len(r.Entries) > 0
 }
 
-// Read answers ReadIndex: once the state machine has applied Index, a read of
-// it is linearizable.
+// Read is the result of ReadIndex: a read of the state machine is linearizable
+// once it has applied Index.
 type Read struct {
 	ID    uint64
 	Index uint64
 }
 
-// Role is what a node currently does.
+// Role is the role of a node in the current term.
 type Role uint8
 
 // The roles.
@@ -158,8 +162,8 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Errors of proposals, reads and changes. All of them mean that nothing was
-// appended to the log.
+// Errors returned by proposals, reads and membership changes. Each of them means
+// that nothing was appended to the log.
 var (
 	ErrNotLeader           = errors.New("not the leader")
 	ErrTransferring        = errors.New("leadership is being transferred")
@@ -176,36 +180,41 @@
 
 // Options configure a node.
 type Options struct {
-	// ID is the node's own.
+	// ID is the ID of the node.
 	ID ID
-	// ElectionTicks is the shortest time without a leader before an election;
-	// the actual time is drawn between it and its double.
+	// ElectionTicks is the minimum election timeout in ticks; the actual timeout
+	// is chosen at random between it and twice its value.
 	ElectionTicks int
-	// HeartbeatTicks is the time between a leader's heartbeats.
+	// HeartbeatTicks is the interval between a leader's heartbeats in ticks.
 	HeartbeatTicks int
-	// MaxAppendBytes bounds one append message, but for a single larger entry.
+	// MaxAppendBytes limits the size of an append message, unless it consists of
+	// a single larger entry.
 	MaxAppendBytes int
-	// MaxInflight bounds the unacknowledged append messages to one member.
+	// MaxInflight limits the number of unacknowledged append messages to a member.
 	MaxInflight int
-	// MaxUncommittedBytes bounds what a leader takes on before it refuses.
+	// MaxUncommittedBytes limits the uncommitted proposals of a leader; further
+	// ones are refused with ErrBusy.
 	MaxUncommittedBytes int
-	// TrailingEntries stay in memory behind a snapshot, for members that lag.
+	// TrailingEntries is the number of entries before a snapshot that stay in
+	// memory for lagging members.
 	TrailingEntries int
-	// KeepCommit makes a Ready with committed entries name their end in its hard
-	// state. An owner that applies them only once that Ready is synced goes on
-	// from all that it had applied when it restarts, without a leader.
+	// KeepCommit adds the index of the last delivered entry to the hard state of
+	// each Ready with committed entries. A caller that applies entries only once
+	// that Ready is synced resumes after a restart, without a leader, with all
+	// entries that it had applied.
 	KeepCommit bool
-	// TellCommit makes the leader tell of each commit at once, and not with its next
-	// heartbeat: until a member hears of it, a loss of power leaves it without.
+	// TellCommit makes the leader announce each commit immediately instead of with
+	// its next heartbeat: a member that loses power before it learns of a commit
+	// restarts without it.
 	TellCommit bool
-	// Random draws election timeouts.
+	// Random is the random source for election timeouts.
 	Random *rand.Rand
 
-	// faults are deliberate mistakes that only this package's tests can set.
+	// faults holds injected faults, which only this package's tests set.
 	faults faults
 }
 
-// faults break one rule each, to show that the tests catch it.
+// faults disable one protocol rule each, to show that the tests detect it.
 type faults struct {
 	commitOldTerm     bool
 	noPreVote         bool
@@ -221,9 +230,9 @@
 	defaultMaxInflight         = 16
 	defaultMaxUncommittedBytes = 16 << 20
 	defaultTrailingEntries     = 1024
-	// hangTimeouts is how many election timeouts a sync may take before a
-	// leader steps down.
-	hangTimeouts = 4
+	// stallTimeouts is the number of election timeouts that a sync may take before
+	// a leader steps down.
+	stallTimeouts = 4
 )
 
 func (o *Options) setDefaults() {
