--- a/coord/claim/claim_test.go
+++ b/coord/claim/claim_test.go
@@ -18,7 +18,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// timedKey is a version 7 UUID of that moment.
+// timedKey returns a version 7 UUID with the given timestamp.
 func timedKey(at time.Time, n byte) string {
 	var id uuid.UUID
 	var millis [8]byte
@@ -28,24 +28,24 @@
 	return id.String()
 }
 
-// naive remembers every claim for ever and knows no bounds.
-type naive map[string]*naiveClaim
+// reference is a table that keeps every claim forever and has no limits.
+type reference map[string]*referenceClaim
 
-type naiveClaim struct {
+type referenceClaim struct {
 	fingerprint []byte
 	token       string
-	withdrawn   string
+	released    string
 	running     bool
 	finished    bool
 }
 
-func (n naive) begin(key string, b claim.Begin) bool {
-	c := n[key]
+func (r reference) begin(key string, b claim.Begin) bool {
+	c := r[key]
 	if c == nil {
-		c = &naiveClaim{}
-		n[key] = c
+		c = &referenceClaim{}
+		r[key] = c
 	}
-	if c.finished || c.fingerprint != nil && !bytes.Equal(c.fingerprint, b.Fingerprint) || b.Token == c.withdrawn {
+	if c.finished || c.fingerprint != nil && !bytes.Equal(c.fingerprint, b.Fingerprint) || b.Token == c.released {
 		return false
 	}
 	if c.running {
@@ -55,29 +55,29 @@
 	return true
 }
 
-func (n naive) finish(key, token string) {
-	if c := n[key]; c != nil && c.running && c.token == token {
+func (r reference) finish(key, token string) {
+	if c := r[key]; c != nil && c.running && c.token == token {
 		c.finished = true
 	}
 }
 
-func (n naive) release(key, token string) {
-	c := n[key]
+func (r reference) release(key, token string) {
+	c := r[key]
 	if c == nil {
-		n[key] = &naiveClaim{withdrawn: token}
+		r[key] = &referenceClaim{released: token}
 		return
 	}
 	if c.running && !c.finished && c.token == token {
-		c.running, c.withdrawn = false, token
+		c.running, c.released = false, token
 	}
 }
 
-// Keys come back hours and days later, after answers were forgotten, through
-// instances that were restored from a snapshot. Whatever a table with bounds
-// forgets, it must never grant what one that remembers everything would refuse.
+// Keys are retried hours or days later, after their answers were dropped, on
+// instances that were restored from a snapshot. A table with limits must never
+// grant an attempt that the unlimited reference table refuses.
 func TestATableThatForgetsNeverGrantsMoreThanOneThatRemembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, model, now := claim.NewTable(claim.DefaultOptions), naive{}, start
+		table, model, now := claim.NewTable(claim.DefaultOptions), reference{}, start
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.SampledFrom([]int{0, 1, 10, 1000, 2000}).Draw(t, "minutes")) * time.Minute)
 			if now.Sub(start) > claim.TombstoneAge {
@@ -98,7 +98,7 @@
 					continue
 				}
 				if want := model.begin(key, b); (got.Verdict == claim.Granted) != want {
-					t.Fatalf("%s: %s, the one that remembers grants: %v", key, got.Verdict, want)
+					t.Fatalf("%s: verdict %s, reference grants: %v", key, got.Verdict, want)
 				}
 			case 2:
 				model.finish(key, token)
@@ -112,15 +112,15 @@
 				table = claim.NewTable(claim.DefaultOptions)
 				table.Restore(all, tombstones)
 				if !reflect.DeepEqual(all, table.All()) || !reflect.DeepEqual(tombstones, table.Tombstones()) {
-					t.Fatal("a restored table holds other claims")
+					t.Fatal("restored table has different claims")
 				}
 			}
 		}
 	})
 }
 
-// A floor terminal was switched off with a release in its queue and sends it
-// days later. The release ran long ago, and its record has been dropped.
+// A client that was offline sends a queued call days later. The call has already
+// run and its claim has expired; it must not run again.
 func TestALateResendOfAnExpiredKeyDoesNotRun(t *testing.T) {
 	for _, key := range []string{"plain", timedKey(start, 1)} {
 		table := claim.NewTable(claim.DefaultOptions)
@@ -129,7 +129,7 @@
 			return table.Apply(claim.Command{ID: id, Begin: &claim.Begin{Token: token, Fingerprint: []byte{1}}}, at).Verdict
 		}
 		if got := begin("1", start); got != claim.Granted {
-			t.Fatalf("%s: first: %s", key, got)
+			t.Fatalf("%s: first attempt: %s", key, got)
 		}
 		table.Apply(claim.Command{ID: id, Finish: &claim.Finish{Token: "1", Answer: claim.Answer{Status: 200, Kept: true}}}, start)
 		steps := []struct {
@@ -145,11 +145,11 @@
 	table := claim.NewTable(claim.DefaultOptions)
 	late := claim.Command{ID: claim.ID{Contract: "c", Key: timedKey(start, 2)}, Begin: &claim.Begin{Token: "1"}}
 	if got := table.Apply(late, start.Add(400*24*time.Hour)); got.Verdict != claim.TooOld {
-		t.Errorf("a key of last year that nobody remembers: %s", got.Verdict)
+		t.Errorf("key of last year without a record: %s", got.Verdict)
 	}
 }
 
-func TestBoundsRefuseInsteadOfForgetting(t *testing.T) {
+func TestLimitsRefuseInsteadOfEvicting(t *testing.T) {
 	table := claim.NewTable(claim.Options{Claims: 1, Tombstones: 1, AnswerBytes: 10})
 	apply := func(key string, c claim.Command) claim.Reply {
 		c.ID = claim.ID{Contract: "c", Key: key}
@@ -158,17 +158,18 @@
 	begin := claim.Command{Begin: &claim.Begin{Token: "1", Fingerprint: []byte{1}}}
 	apply("a", begin)
 	if got := apply("b", begin); got.Verdict != claim.Full {
-		t.Errorf("a second claim: %s", got.Verdict)
+		t.Errorf("second claim: %s", got.Verdict)
 	}
 	apply("a", claim.Command{Finish: &claim.Finish{Token: "1", Answer: claim.Answer{Status: 200, Kept: true, Body: make([]byte, 11)}}})
 	if got := apply("a", begin); got.Verdict != claim.Replay || got.Answer.Kept || got.Answer.Status != 200 {
-		t.Errorf("an answer beyond the bound: %+v", got)
+		t.Errorf("answer above the size limit: %+v", got)
 	}
 }
 
-// Old keys fill the memory for tombstones. Forgetting one early would let its
-// late resend run; keys that carry their time need none and go on.
-func TestFullTombstonesRefuseOnlyKeysThatNeedOne(t *testing.T) {
+// The tombstone table is full. Dropping a tombstone early would let a late retry
+// run, so new keys are refused, except those with a timestamp, which need no
+// tombstone.
+func TestFullTombstonesRefuseOnlyUntimedKeys(t *testing.T) {
 	table := claim.NewTable(claim.Options{Claims: 10, Tombstones: 1, AnswerBytes: 10})
 	begin := func(key string, at time.Time) claim.Verdict {
 		return table.Apply(claim.Command{ID: claim.ID{Contract: "c", Key: key}, Begin: &claim.Begin{Token: "1", Fingerprint: []byte{1}}}, at).Verdict
@@ -189,7 +190,7 @@
 	}
 }
 
-// BenchmarkMemory shows what one remembered key costs, in bytes.
+// BenchmarkMemory measures the memory per retained key in bytes.
 func BenchmarkMemory(b *testing.B) {
 	const keys = 200_000
 	for name, at := range map[string]time.Duration{"claim": 0, "tombstone": claim.Age} {
--- a/coord/claim/example_test.go
+++ b/coord/claim/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/rosemarypass/rosemarypass/coord/claim"
 )
 
-// A call is sent again while its first attempt may still be running: it is not
-// run. Once the first attempt has ended, a resend gets its answer.
+// A call that is retried while its first attempt may still be running is not
+// run. Once the first attempt has finished, a retry gets its answer.
 func Example() {
 	clock := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	table := claim.NewTable(claim.DefaultOptions)
--- a/coord/claim/table.go
+++ b/coord/claim/table.go
@@ -8,23 +8,24 @@
 	"time"
 )
 
-// Options bound a table. Every instance of one log must use the same.
+// Options are the limits of a table. All instances of a log must use the same
+// values.
 type Options struct {
-	// Claims is the most claims that have not expired.
+	// Claims is the maximum number of claims that have not expired.
 	Claims int
-	// Tombstones is the most keys without a time of their own that are
-	// remembered, expired or not.
+	// Tombstones is the maximum number of retained keys without a timestamp,
+	// expired or not.
 	Tombstones int
-	// AnswerBytes is the most bytes of kept answers.
+	// AnswerBytes is the maximum total size of kept answers in bytes.
 	AnswerBytes int
 }
 
-// DefaultOptions are the bounds of the control instances.
+// DefaultOptions are the limits used by the control instances.
 var DefaultOptions = Options{Claims: 500_000, Tombstones: 2_000_000, AnswerBytes: 64 << 20}
 
-// digestSize is how much of a key's digest a tombstone keeps, in bytes. A
-// foreign key with the same digest would be refused as expired; with 2 million
-// tombstones that happens to one key in 10 to the power of 32.
+// digestSize is the size in bytes of the truncated key digest in a tombstone. A
+// different key with the same digest would be refused as expired; with 2 million
+// tombstones this affects one key in 10 to the power of 32.
 const digestSize = 16
 
 type digest [digestSize]byte
@@ -34,25 +35,27 @@
 	return digest(sum[:digestSize])
 }
 
-// Tombstone is what is left of an expired key that carries no time.
+// Tombstone is the record of an expired key without a timestamp.
 type Tombstone struct {
 	Digest []byte `json:"digest"`
-	// Forget is when it is forgotten, in milliseconds since 1970.
+	// Forget is the time at which the tombstone is deleted, in milliseconds since
+	// the Unix epoch.
 	Forget int64 `json:"forget"`
 }
 
-// Table holds the claims. One duty owns it.
+// Table holds the claims. It is not safe for concurrent use.
 type Table struct {
 	options     Options
 	claims      map[ID]*Claim
 	tombstones  map[digest]int64
 	answerBytes int
-	// plain counts the claims that will leave a tombstone.
-	plain int
-	// expiring and forgetting are in the order in which claims expire and
-	// tombstones are forgotten.
-	expiring   queue[ID]
-	forgetting queue[digest]
+	// untimed is the number of claims whose key has no timestamp; each leaves a
+	// tombstone when it expires.
+	untimed int
+	// claimDeadlines and tombstoneDeadlines hold the expiry times of claims and
+	// tombstones.
+	claimDeadlines     queue[ID]
+	tombstoneDeadlines queue[digest]
 }
 
 type deadline[K any] struct {
@@ -60,7 +63,7 @@
 	at int64
 }
 
-// queue holds deadlines in order of time.
+// queue holds deadlines in time order.
 type queue[K any] []deadline[K]
 
 func (q *queue[K]) push(d deadline[K]) {
@@ -73,8 +76,8 @@
 	*q = slices.Insert(*q, at, d)
 }
 
-// due removes and returns the first deadline that has come.
-func (q *queue[K]) due(clock int64) (deadline[K], bool) {
+// popDue removes and returns the first deadline if it has passed.
+func (q *queue[K]) popDue(clock int64) (deadline[K], bool) {
 	if len(*q) == 0 || (*q)[0].at > clock {
 		return deadline[K]{}, false
 	}
@@ -88,7 +91,7 @@
 	return &Table{options: options, claims: make(map[ID]*Claim), tombstones: make(map[digest]int64)}
 }
 
-// Apply executes a command at the log's clock, which never steps back.
+// Apply executes a command at the log's clock, which never goes backwards.
 func (t *Table) Apply(command Command, clock time.Time) Reply {
 	now := clock.UnixMilli()
 	t.expire(now)
@@ -120,8 +123,8 @@
 	case c.State == Started:
 		return Reply{Verdict: InDoubt, State: Started, Attempt: c.Attempt}
 	case c.Token == begin.Token:
-		// The attempt gave up before its Begin arrived. Granting it now
-		// would leave the claim started by nobody.
+		// The attempt was released before its Begin arrived. Granting it now
+		// would leave the claim in Started without an attempt that finishes it.
 		return Reply{Verdict: Superseded, State: Free, Attempt: c.Attempt}
 	default:
 		return t.grant(c, begin)
@@ -129,7 +132,7 @@
 }
 
 func (t *Table) create(id ID, begin Begin, now int64) Reply {
-	if verdict := t.admits(id, now); verdict != Granted {
+	if verdict := t.admit(id, now); verdict != Granted {
 		return Reply{Verdict: verdict}
 	}
 	c := &Claim{ID: id, Expires: expiry(id.Key, now)}
@@ -137,31 +140,33 @@
 	return t.grant(c, begin)
 }
 
-// admits says whether a new claim may be created for a key.
-func (t *Table) admits(id ID, now int64) Verdict {
+// admit returns Granted if a claim may be created for a key, otherwise the reason
+// for the refusal.
+func (t *Table) admit(id ID, now int64) Verdict {
 	if id.Key == "" || len(id.Key) > MaxKey {
 		return BadKey
 	}
-	at, carries := keyTime(id.Key)
-	if carries && at.UnixMilli() > now+MaxSkew.Milliseconds() {
+	at, timed := keyTime(id.Key)
+	if timed && at.UnixMilli() > now+MaxSkew.Milliseconds() {
 		return BadKey
 	}
-	if carries && at.UnixMilli()+Age.Milliseconds() <= now {
+	if timed && at.UnixMilli()+Age.Milliseconds() <= now {
 		return TooOld
 	}
 	if _, known := t.tombstones[digestOf(id)]; known {
 		return TooOld
 	}
-	if len(t.claims) >= t.options.Claims || !carries && len(t.tombstones)+t.plain >= t.options.Tombstones {
+	if len(t.claims) >= t.options.Claims || !timed && len(t.tombstones)+t.untimed >= t.options.Tombstones {
 		return Full
 	}
 	return Granted
 }
 
-// expiry is when a new claim expires. A key that carries its time is too old
-// by itself from then on, so that no resend finds a gap.
+// expiry returns the expiry time of a new claim. From then on, a key with a
+// timestamp is refused as too old because of that timestamp, so that there is no
+// interval in which a retry could run.
 func expiry(key string, now int64) int64 {
-	if at, carries := keyTime(key); carries {
+	if at, timed := keyTime(key); timed {
 		now = max(now, at.UnixMilli())
 	}
 	return now + Age.Milliseconds()
@@ -170,10 +175,10 @@
 func (t *Table) add(c *Claim) {
 	t.claims[c.ID] = c
 	t.answerBytes += c.Answer.size()
-	if _, carries := keyTime(c.ID.Key); !carries {
-		t.plain++
+	if _, timed := keyTime(c.ID.Key); !timed {
+		t.untimed++
 	}
-	t.expiring.push(deadline[ID]{id: c.ID, at: c.Expires})
+	t.claimDeadlines.push(deadline[ID]{id: c.ID, at: c.Expires})
 }
 
 func (t *Table) grant(c *Claim, begin Begin) Reply {
@@ -204,25 +209,25 @@
 	return Reply{Verdict: Noted, State: Finished, Attempt: c.Attempt}
 }
 
-func (t *Table) release(id ID, done Done, now int64) Reply {
+func (t *Table) release(id ID, release Done, now int64) Reply {
 	c, known := t.claims[id]
 	if !known {
-		return t.withdraw(id, done, now)
+		return t.releaseEarly(id, release, now)
 	}
-	if c.Token != done.Token || c.State != Started {
+	if c.Token != release.Token || c.State != Started {
 		return Reply{Verdict: Superseded, State: c.State}
 	}
 	c.State = Free
 	return Reply{Verdict: Noted, State: Free, Attempt: c.Attempt}
 }
 
-// withdraw remembers an attempt whose Begin has not arrived yet, so that it is
-// not granted when it does.
-func (t *Table) withdraw(id ID, done Done, now int64) Reply {
-	if verdict := t.admits(id, now); verdict != Granted {
+// releaseEarly records the release of an attempt whose Begin has not arrived yet,
+// so that the Begin is not granted when it arrives.
+func (t *Table) releaseEarly(id ID, release Done, now int64) Reply {
+	if verdict := t.admit(id, now); verdict != Granted {
 		return Reply{Verdict: verdict}
 	}
-	t.add(&Claim{ID: id, Token: done.Token, State: Free, Expires: expiry(id.Key, now)})
+	t.add(&Claim{ID: id, Token: release.Token, State: Free, Expires: expiry(id.Key, now)})
 	return Reply{Verdict: Noted, State: Free}
 }
 
@@ -231,43 +236,43 @@
 	if known {
 		return Reply{Verdict: Noted, State: c.State, Attempt: c.Attempt, Answer: c.Answer}
 	}
-	if t.admits(id, now) == TooOld {
+	if t.admit(id, now) == TooOld {
 		return Reply{Verdict: TooOld, State: Expired}
 	}
 	return Reply{Verdict: None}
 }
 
-// expire turns claims into tombstones and forgets old tombstones.
+// expire replaces expired claims by tombstones and deletes expired tombstones.
 func (t *Table) expire(now int64) {
-	for d, due := t.expiring.due(now); due; d, due = t.expiring.due(now) {
+	for d, due := t.claimDeadlines.popDue(now); due; d, due = t.claimDeadlines.popDue(now) {
 		t.replaceByTombstone(t.claims[d.id])
 	}
-	for d, due := t.forgetting.due(now); due; d, due = t.forgetting.due(now) {
+	for d, due := t.tombstoneDeadlines.popDue(now); due; d, due = t.tombstoneDeadlines.popDue(now) {
 		delete(t.tombstones, d.id)
 	}
 }
 
-// replaceByTombstone needs no tombstone for a key that carries its own time: a
-// late resend is refused by that.
+// replaceByTombstone deletes a claim and adds a tombstone for its key. A key with
+// a timestamp needs none: the timestamp suffices to refuse a late retry.
 func (t *Table) replaceByTombstone(c *Claim) {
 	t.answerBytes -= c.Answer.size()
 	delete(t.claims, c.ID)
-	if _, carries := keyTime(c.ID.Key); carries {
+	if _, timed := keyTime(c.ID.Key); timed {
 		return
 	}
-	t.plain--
-	t.remember(digestOf(c.ID), c.Expires+(TombstoneAge-Age).Milliseconds())
+	t.untimed--
+	t.addTombstone(digestOf(c.ID), c.Expires+(TombstoneAge-Age).Milliseconds())
 }
 
-func (t *Table) remember(d digest, forget int64) {
+func (t *Table) addTombstone(d digest, forget int64) {
 	t.tombstones[d] = forget
-	t.forgetting.push(deadline[digest]{id: d, at: forget})
+	t.tombstoneDeadlines.push(deadline[digest]{id: d, at: forget})
 }
 
-// Len counts the claims that have not expired.
+// Len returns the number of claims that have not expired.
 func (t *Table) Len() int { return len(t.claims) }
 
-// Tombstones returns every tombstone in the order of the digests.
+// Tombstones returns all tombstones, sorted by digest.
 func (t *Table) Tombstones() []Tombstone {
 	all := make([]Tombstone, 0, len(t.tombstones))
 	for d, forget := range t.tombstones {
@@ -277,7 +282,7 @@
 	return all
 }
 
-// All returns every claim in the order of contract and key.
+// All returns all claims, sorted by contract and key.
 func (t *Table) All() []Claim {
 	all := make([]Claim, 0, len(t.claims))
 	for _, c := range t.claims {
@@ -289,16 +294,16 @@
 	return all
 }
 
-// Restore puts back what All and Tombstones returned into an empty table.
+// Restore fills an empty table with the results of All and Tombstones.
 func (t *Table) Restore(all []Claim, tombstones []Tombstone) {
-	byTime := slices.Clone(all)
-	slices.SortStableFunc(byTime, func(a, b Claim) int { return cmp.Compare(a.Expires, b.Expires) })
-	for _, c := range byTime {
+	claims := slices.Clone(all)
+	slices.SortStableFunc(claims, func(a, b Claim) int { return cmp.Compare(a.Expires, b.Expires) })
+	for _, c := range claims {
 		t.add(&c)
 	}
-	oldest := slices.Clone(tombstones)
-	slices.SortStableFunc(oldest, func(a, b Tombstone) int { return cmp.Compare(a.Forget, b.Forget) })
-	for _, tombstone := range oldest {
-		t.remember(digest(tombstone.Digest), tombstone.Forget)
+	byExpiry := slices.Clone(tombstones)
+	slices.SortStableFunc(byExpiry, func(a, b Tombstone) int { return cmp.Compare(a.Forget, b.Forget) })
+	for _, tombstone := range byExpiry {
+		t.addTombstone(digest(tombstone.Digest), tombstone.Forget)
 	}
 }
