--- a/coord/state/bench_test.go
+++ b/coord/state/bench_test.go
@@ -18,8 +18,9 @@
 	return m
 }
 
-// BenchmarkState measures the whole state's encoding, the copy for daemons, and
-// the freeze before both, during which a control instance answers nobody.
+// BenchmarkState measures encoding and decoding the whole state, the snapshot for
+// daemons, and the preceding freeze, during which a control instance answers no
+// requests.
 func BenchmarkState(b *testing.B) {
 	for _, n := range []int{3_000, 130_000} {
 		m := manyAdapters(n)
--- a/coord/state/catalogue.go
+++ b/coord/state/catalogue.go
@@ -34,8 +34,8 @@
 	return ok(index), &Change{Index: index, Model: &model}
 }
 
-// putAdapter adds a version. Versions are immutable: the same name with other
-// weights would make two servers answer differently under one name.
+// putAdapter adds a version. Versions are immutable: with different weights under
+// the same name, two servers could answer differently for one name.
 func (t *catalogueTable) putAdapter(index uint64, adapter catalogue.Adapter) (Result, *Change) {
 	if err := adapter.Validate(); err != nil {
 		return invalid(index, err), nil
@@ -95,7 +95,7 @@
 	return conflict(index, "the service was changed by another writer", &Change{Index: current.Revision, Service: &current})
 }
 
-// Adapter returns an adapter version, retired ones included.
+// Adapter returns an adapter version, including retired ones.
 func (m *Machine) Adapter(ref catalogue.Ref) (catalogue.Adapter, bool) {
 	return m.catalogue.adapters.Get(ref)
 }
@@ -106,23 +106,23 @@
 	return service, found
 }
 
-// Models returns all base models, by name.
+// Models returns all base models, sorted by name.
 func (m *Machine) Models() []catalogue.Model {
 	return sortedValues(m.catalogue.models, identity)
 }
 
-// Adapters returns all adapter versions, by name and version.
+// Adapters returns all adapter versions, sorted by name and version.
 func (m *Machine) Adapters() []catalogue.Adapter {
 	return m.catalogue.adapters.Sorted()
 }
 
-// AdapterTable returns a copy of the adapters, which is far quicker than listing them.
+// AdapterTable returns a copy of the adapter table, which is much faster than listing the adapters.
 func (m *Machine) AdapterTable() *catalogue.Table { return m.catalogue.adapters.Clone() }
 
-// AdapterCount is the number of adapter versions, retired ones included.
+// AdapterCount returns the number of adapter versions, including retired ones.
 func (m *Machine) AdapterCount() int { return m.catalogue.adapters.Len() }
 
-// Services returns all plain services, by name.
+// Services returns all plain services, sorted by name.
 func (m *Machine) Services() []catalogue.Service {
 	return sortedValues(m.catalogue.services, identity)
 }
--- a/coord/state/codec.go
+++ b/coord/state/codec.go
@@ -14,23 +14,23 @@
 	"github.com/rosemarypass/rosemarypass/coord/suspicion"
 )
 
-// Versions of the encodings. Another version is refused: guessing at fields
-// would let instances with different programs hold different states.
+// Versions of the encodings. Other versions are refused: if unknown fields were
+// ignored, instances running different releases could diverge.
 const (
 	commandVersion  = 1
 	snapshotVersion = 1
 )
 
-// checksumSize is the size of the checksum that ends a snapshot, in bytes.
+// checksumSize is the size in bytes of the checksum at the end of a snapshot.
 const checksumSize = 8
 
-// ErrCorrupt means that encoded state cannot be trusted.
+// ErrCorrupt is returned for encoded data that is damaged or of another version.
 var ErrCorrupt = errors.New("corrupt encoding")
 
 // Encode returns the deterministic encoding of the command.
 func (c Command) Encode() ([]byte, error) { return encode(commandVersion, c) }
 
-// DecodeCommand reads a command that Encode wrote.
+// DecodeCommand decodes a command encoded by Command.Encode.
 func DecodeCommand(data []byte) (Command, error) {
 	var command Command
 	err := decode(commandVersion, data, &command)
@@ -40,14 +40,14 @@
 // Encode returns the deterministic encoding of the result.
 func (r Result) Encode() ([]byte, error) { return encode(commandVersion, r) }
 
-// DecodeResult reads a result that Encode wrote.
+// DecodeResult decodes a result encoded by Result.Encode.
 func DecodeResult(data []byte) (Result, error) {
 	var result Result
 	err := decode(commandVersion, data, &result)
 	return result, errors.Wrap(err, "result")
 }
 
-// snapshot is the whole state with every list in a fixed order.
+// snapshot is the whole state, with every list in a deterministic order.
 type snapshot struct {
 	Index       uint64              `json:"index"`
 	ConfigIndex uint64              `json:"configIndex"`
@@ -62,20 +62,20 @@
 	Claims      []claim.Claim       `json:"claims,omitempty"`
 	Tombstones  []claim.Tombstone   `json:"tombstones,omitempty"`
 	Suspects    []suspicion.Record  `json:"suspects,omitempty"`
-	// Crashed are the last counted crashes of backend servers.
+	// Crashed holds the last counted crash of each backend server.
 	Crashed []suspicion.Incarnation `json:"crashed,omitempty"`
 }
 
-// Frozen is the state at one moment. It is safe to use while the machine
-// goes on: encoding very many adapters takes longer than an instance may keep
-// its callers waiting.
+// Frozen is an immutable copy of the state. It remains valid while the machine
+// applies further commands: encoding a large number of adapters takes longer than
+// an instance may block its callers.
 type Frozen struct {
 	state snapshot
-	// adapters are listed and sorted only when they are needed.
+	// adapters is listed and sorted only when needed.
 	adapters *catalogue.Table
 }
 
-// Freeze copies the state.
+// Freeze returns a copy of the state.
 func (m *Machine) Freeze() Frozen {
 	return Frozen{
 		state: snapshot{
@@ -97,11 +97,11 @@
 	}
 }
 
-// Encode returns the whole state. Two machines that applied the same log
-// return the same bytes.
+// Encode returns the encoding of the whole state. Two machines that applied the
+// same log return the same bytes.
 func (m *Machine) Encode() ([]byte, error) { return m.Freeze().Encode() }
 
-// Encode returns the whole state at the moment of the freeze.
+// Encode returns the encoding of the whole state at the time of the freeze.
 func (f Frozen) Encode() ([]byte, error) {
 	f.state.Adapters = f.adapters.Sorted()
 	data, err := encode(snapshotVersion, f.state)
@@ -111,7 +111,7 @@
 	return binary.BigEndian.AppendUint64(data, xxhash.Sum64(data)), nil
 }
 
-// Decode reads a state that Encode wrote. Damaged bytes give ErrCorrupt.
+// Decode decodes a state encoded by Encode. It returns ErrCorrupt for damaged data.
 func Decode(data []byte) (*Machine, error) {
 	if len(data) < checksumSize {
 		return nil, errors.Wrap(ErrCorrupt, "snapshot is too short")
--- a/coord/state/command.go
+++ b/coord/state/command.go
@@ -10,10 +10,10 @@
 // Command is one proposed change. Exactly one of the pointers is set; each
 // belongs to one aggregate.
 type Command struct {
-	// OperationID makes a resent command return the first result.
+	// OperationID makes a command idempotent: a retry returns the first result.
 	OperationID string `json:"operationId,omitempty"`
-	// Time is the proposer's clock in milliseconds since 1970. The machine's
-	// own clock is the highest Time that it has seen.
+	// Time is the proposer's clock in milliseconds since the Unix epoch. The
+	// machine's own clock is the highest Time of the applied commands.
 	Time int64 `json:"time,omitempty"`
 
 	PutContract   *PutContract       `json:"putContract,omitempty"`
@@ -29,15 +29,15 @@
 }
 
 // PutContract creates or changes a contract. Expected is the revision that the
-// writer read: 0 creates. A retirement is a change that sets Retired.
+// writer read, 0 to create. A contract is retired by a change that sets Retired.
 type PutContract struct {
 	Expected uint64            `json:"expected"`
 	Contract contract.Contract `json:"contract"`
 }
 
-// ChangeKeys adds and removes callers' keys of a contract; with both set it
-// rotates one. Additions and removals of different keys commute, so that no
-// revision is named.
+// ChangeKeys adds or removes a caller's key of a contract; with both fields set it
+// rotates a key. Additions and removals of different keys commute, so no expected
+// revision is needed.
 type ChangeKeys struct {
 	Contract string `json:"contract"`
 	// Add and Remove are hex SHA-256 digests of keys.
@@ -45,21 +45,21 @@
 	Remove string `json:"remove,omitempty"`
 }
 
-// RetireAdapter withdraws one adapter version for good: its name can never
-// stand for other weights.
+// RetireAdapter retires an adapter version permanently: its name can never be
+// reused for other weights.
 type RetireAdapter struct {
 	Ref catalogue.Ref `json:"ref"`
 }
 
 // PutService creates or changes a plain service. Expected is the revision that
-// the writer read: 0 creates.
+// the writer read, 0 to create.
 type PutService struct {
 	Expected uint64            `json:"expected"`
 	Service  catalogue.Service `json:"service"`
 }
 
-// PutServer sets what operators want of a backend server. Expected is the
-// revision that the writer read: 0 when there was none.
+// PutServer sets the wanted state of a backend server. Expected is the revision
+// that the writer read, 0 if there was none.
 type PutServer struct {
 	Expected uint64 `json:"expected"`
 	Server   Server `json:"server"`
@@ -68,7 +68,7 @@
 // Fence issues the next fencing number for orders to a backend server's engine.
 type Fence struct {
 	Server string `json:"server"`
-	// Holder names who will give the orders.
+	// Holder identifies the process that will send the orders.
 	Holder string `json:"holder"`
 }
 
@@ -86,28 +86,29 @@
 	CodeNotFound Code = "not-found"
 	// CodeReused means that the operation id was used for another command.
 	CodeReused Code = "operation-reused"
-	// CodeFull means that a bounded table has no room.
+	// CodeFull means that a bounded table is full.
 	CodeFull Code = "full"
 )
 
-// Result is the answer to a command, kept for resends.
+// Result is the result of a command, retained for retries.
 type Result struct {
 	Code Code `json:"code"`
-	// Index is the log index of the command; the changed object's new revision.
+	// Index is the log index of the command, which is the changed object's new
+	// revision.
 	Index   uint64 `json:"index"`
 	Message string `json:"message,omitempty"`
-	// Winner is the object as it stands when Code is CodeConflict.
+	// Winner is the current object if Code is CodeConflict.
 	Winner *Change `json:"winner,omitempty"`
-	// Fencing is the number that a Fence command issued.
+	// Fencing is the number issued by a Fence command.
 	Fencing uint64 `json:"fencing,omitempty"`
 	// Claim is the reply to a Claim command.
 	Claim *claim.Reply `json:"claim,omitempty"`
-	// Suspicion answers a Suspicion command.
+	// Suspicion is the verdict on a Suspicion command.
 	Suspicion suspicion.Verdict `json:"suspicion,omitempty"`
 }
 
-// Change is one object as it stands after the command at Index. Exactly one
-// of the pointers is set.
+// Change is an object after the command at Index. Exactly one of the pointers or
+// Suspects is set.
 type Change struct {
 	Index    uint64             `json:"index"`
 	Contract *contract.Contract `json:"contract,omitempty"`
@@ -115,7 +116,7 @@
 	Adapter  *catalogue.Adapter `json:"adapter,omitempty"`
 	Service  *catalogue.Service `json:"service,omitempty"`
 	Server   *Server            `json:"server,omitempty"`
-	// Suspects are the requests whose record changed in a crash or trial.
+	// Suspects holds the requests whose record changed in a crash or trial.
 	Suspects []suspicion.Record `json:"suspects,omitempty"`
 }
 
@@ -125,8 +126,8 @@
 	return Result{Code: CodeInvalid, Index: index, Message: err.Error()}
 }
 
-func notFound(index uint64, what string) Result {
-	return Result{Code: CodeNotFound, Index: index, Message: "there is no " + what}
+func notFound(index uint64, object string) Result {
+	return Result{Code: CodeNotFound, Index: index, Message: "there is no " + object}
 }
 
 func conflict(index uint64, message string, winner *Change) Result {
--- a/coord/state/contracts.go
+++ b/coord/state/contracts.go
@@ -12,7 +12,7 @@
 	"github.com/rosemarypass/rosemarypass/coord/contract"
 )
 
-// MaxKeys bounds the callers' keys of one contract.
+// MaxKeys is the maximum number of callers' keys per contract.
 const MaxKeys = 64
 
 // digestLength is the length of a hex SHA-256 digest.
@@ -21,7 +21,7 @@
 // contracts is the aggregate of contracts and their callers' keys.
 type contracts struct {
 	byID map[string]contract.Contract
-	// owners maps a key's digest to the one living contract that holds it.
+	// owners maps a key's digest to the one active contract that contains it.
 	owners map[string]string
 }
 
@@ -73,8 +73,9 @@
 	return nil
 }
 
-// checkKey refuses a digest that belongs to another contract: a caller with
-// that key would be served under whichever contract a daemon happened to find.
+// checkKey returns an error for a digest that belongs to another contract: a
+// caller with that key would be served under whichever contract a daemon found
+// first.
 func (c *contracts) checkKey(id, digest string) error {
 	if _, err := hex.DecodeString(digest); err != nil || len(digest) != digestLength {
 		return errors.Errorf("contract %s: a key hash must be a hex SHA-256 digest", id)
@@ -94,11 +95,11 @@
 		next.Created = index
 	}
 	c.byID[next.ID] = next
-	c.own(next)
+	c.addOwner(next)
 	return ok(index), &Change{Index: index, Contract: &next}
 }
 
-func (c *contracts) own(next contract.Contract) {
+func (c *contracts) addOwner(next contract.Contract) {
 	if next.Retired {
 		return
 	}
@@ -137,23 +138,23 @@
 }
 
 func (c *contracts) restore(all []contract.Contract) {
-	for _, each := range all {
-		c.byID[each.ID] = each
-		c.own(each)
+	for _, ct := range all {
+		c.byID[ct.ID] = ct
+		c.addOwner(ct)
 	}
 }
 
-// Contract looks a contract up, retired ones included; false when the ID was
+// Contract returns a contract, including retired ones, or false if the ID was
 // never used.
 func (m *Machine) Contract(id string) (contract.Contract, bool) {
 	c, found := m.contracts.byID[id]
 	return c, found
 }
 
-// Contracts returns all contracts, by ID.
+// Contracts returns all contracts, sorted by ID.
 func (m *Machine) Contracts() []contract.Contract { return m.contracts.sorted() }
 
-// sortedValues returns a map's values in the order of their keys' text.
+// sortedValues returns a map's values, sorted by the text of their keys.
 func sortedValues[K comparable, V any](all map[K]V, text func(K) string) []V {
 	keys := slices.Collect(maps.Keys(all))
 	slices.SortFunc(keys, func(a, b K) int { return cmp.Compare(text(a), text(b)) })
--- a/coord/state/example_test.go
+++ b/coord/state/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/rosemarypass/rosemarypass/coord/state"
 )
 
-// Instances that apply the same commands at the same indexes hold the same
-// state; a resent command returns its first result.
+// Instances that apply the same commands at the same indexes have the same
+// state; a retried command returns its first result.
 func Example() {
 	machine := state.NewMachine()
 	command := state.Command{OperationID: "op-1", PutModel: &catalogue.Model{Name: "floor-base"}}
--- a/coord/state/feed.go
+++ b/coord/state/feed.go
@@ -1,10 +1,10 @@
 package state
 
-// ConfigIndex is the index that Snapshot's objects stand at.
+// ConfigIndex returns the index of the objects returned by Snapshot.
 func (f Frozen) ConfigIndex() uint64 { return f.state.ConfigIndex }
 
-// Snapshot returns every object that daemons follow, in a fixed order. It is
-// what a daemon that follows the feed for the first time receives.
+// Snapshot returns every object that daemons subscribe to, in a fixed order. A
+// daemon that subscribes to the feed for the first time receives it.
 func (f Frozen) Snapshot() []Change {
 	at := f.state.ConfigIndex
 	var changes []Change
--- a/coord/state/operations.go
+++ b/coord/state/operations.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// OperationAge is how long the result of an operation id is kept, by the
-// machine's clock. A resend after that is a new command: a change then meets
-// the revision check of its object and ends in a conflict.
+// OperationAge is the time for which the result of an operation id is retained,
+// by the machine's clock. A later retry is a new command: it fails the revision
+// check of its object and returns a conflict.
 const OperationAge = 24 * time.Hour
 
-// MaxOperations bounds the remembered operation ids. At the bound, commands
-// with a new id are refused: forgetting an id early would let a resend after a
-// lost answer run a second time.
+// MaxOperations is the maximum number of retained operation ids. At the limit,
+// commands with a new id are refused: evicting an id early would let a retry after
+// a lost answer run a second time.
 const MaxOperations = 200_000
 
-// MaxOperationID bounds an operation id, in bytes.
+// MaxOperationID is the maximum length of an operation id in bytes.
 const MaxOperationID = 128
 
-// Operation is the remembered result of one operation id.
+// Operation is the retained result of an operation id.
 type Operation struct {
 	ID string `json:"id"`
-	// Digest identifies the command, so that an id that is used for another
-	// command is refused instead of answered with a foreign result.
+	// Digest identifies the command, so that reuse of the id for another command
+	// is refused instead of returning the first command's result.
 	Digest []byte `json:"digest"`
-	// Expires is in milliseconds since 1970.
+	// Expires is the expiry time in milliseconds since the Unix epoch.
 	Expires int64  `json:"expires"`
 	Result  Result `json:"result"`
 }
 
-// operations remembers results in the order in which they expire, which is the
-// order in which they were recorded, as the clock never steps back.
+// operations holds results in order of expiry, which is the order in which they
+// were recorded because the clock never goes backwards.
 type operations struct {
 	byID  map[string]Operation
 	order []string
@@ -47,7 +47,7 @@
 	o.order = o.order[expired:]
 }
 
-// refuse returns the refusal of an operation id that cannot be remembered, or nil.
+// refuse returns the result for an operation id that cannot be retained, or nil.
 func (o *operations) refuse(command Command) *Result {
 	switch {
 	case len(command.OperationID) > MaxOperationID:
@@ -95,12 +95,12 @@
 	return all
 }
 
-// digest identifies what a command does, whenever it was proposed.
+// digest returns a digest of the command without its proposal time.
 func digest(command Command) []byte {
 	command.Time = 0
 	data, err := command.Encode()
 	if err != nil {
-		panic("state: a command that was decoded cannot be encoded: " + err.Error())
+		panic("state: encode a decoded command: " + err.Error())
 	}
 	sum := sha256.Sum256(data)
 	return sum[:16]
--- a/coord/state/servers.go
+++ b/coord/state/servers.go
@@ -6,15 +6,17 @@
 	"github.com/rosemarypass/rosemarypass/coord/catalogue"
 )
 
-// Wanted is what operators want a backend server to do.
+// Wanted is the state that operators request for a backend server.
 type Wanted string
 
 const (
-	// WantedServing takes new work. A server without a record is wanted serving.
+	// WantedServing means that the server accepts new work. It is the default for
+	// a server without a record.
 	WantedServing Wanted = "serving"
-	// WantedDraining takes no new work and finishes what is in flight.
+	// WantedDraining means that the server accepts no new work and finishes the
+	// requests in flight.
 	WantedDraining Wanted = "draining"
-	// WantedStopped is drained and may be switched off.
+	// WantedStopped means that the server is drained and may be switched off.
 	WantedStopped Wanted = "stopped"
 )
 
@@ -22,14 +24,14 @@
 type Server struct {
 	Name   string `json:"name"`
 	Wanted Wanted `json:"wanted"`
-	// Role is the engine's role, such as prefill or decode; empty keeps the
-	// engine's own.
+	// Role is the engine's role, such as prefill or decode. If empty, the engine's
+	// own role applies.
 	Role string `json:"role,omitempty"`
 	// Revision is the log index of the change that wrote this state.
 	Revision uint64 `json:"revision"`
 }
 
-// Validate reports the first rule that the wanted state breaks.
+// Validate returns an error for the first rule that the wanted state violates.
 func (s Server) Validate() error {
 	if err := catalogue.CheckName(s.Name); err != nil {
 		return errors.Wrap(err, "server")
@@ -47,12 +49,12 @@
 	}
 }
 
-// Fencing is the last number issued for orders to a server's engine.
+// Fencing is the last fencing number issued for orders to a server's engine.
 type Fencing struct {
 	Server string `json:"server"`
-	// Number grows by one with each Fence, from 1.
+	// Number starts at 1 and increases by one with each Fence.
 	Number uint64 `json:"number"`
-	// Holder is who asked for the number.
+	// Holder identifies the process that requested the number.
 	Holder string `json:"holder"`
 }
 
@@ -84,8 +86,8 @@
 	return ok(index), &Change{Index: index, Server: &next}
 }
 
-// fence issues a number above every earlier one for the server, so that an
-// engine that compares numbers refuses the orders of whoever held the last.
+// fence issues a number higher than all earlier ones for the server, so that an
+// engine that compares numbers refuses orders of the previous holder.
 func (s *servers) fence(index uint64, fence Fence) Result {
 	for _, name := range []string{fence.Server, fence.Holder} {
 		if err := catalogue.CheckName(name); err != nil {
@@ -105,7 +107,7 @@
 	return server, found
 }
 
-// Servers returns all wanted states, by server.
+// Servers returns all wanted states, sorted by server.
 func (m *Machine) Servers() []Server { return sortedValues(m.servers.wanted, identity) }
 
 // Fencing returns the last fencing number issued for a server.
--- a/coord/state/state.go
+++ b/coord/state/state.go
@@ -1,11 +1,11 @@
-// Package state is the replicated state machine: contracts, the catalogue, the
-// wanted state of backend servers, fencing numbers and the results of
-// operations. It is deterministic, so that every control instance that applies
-// the same log holds the same state, byte for byte.
+// Package state implements the replicated state machine: contracts, the
+// catalogue, the wanted state of backend servers, fencing numbers and the results
+// of operations. It is deterministic: every control instance that applies the same
+// log has the same state, byte for byte.
 //
-// Time enters only with commands. The machine's clock is the highest proposer's
-// time among the applied commands, so that whether something has expired is the
-// same on every instance and after every restart.
+// Commands are the only source of time. The machine's clock is the highest
+// proposer's time among the applied commands, so that expiry is the same on every
+// instance and after every restart.
 package state
 
 import (
@@ -18,8 +18,8 @@
 	"github.com/rosemarypass/rosemarypass/coord/suspicion"
 )
 
-// Machine is the state after a prefix of the log. It is not safe for
-// concurrent use: one duty owns it.
+// Machine is the state after a prefix of the log. It is not safe for concurrent
+// use.
 type Machine struct {
 	index       uint64
 	configIndex uint64
@@ -33,7 +33,7 @@
 	suspicion  *suspicion.Table
 }
 
-// NewMachine returns the state before the first command.
+// NewMachine returns a machine in the state before the first command.
 func NewMachine() *Machine {
 	return &Machine{
 		contracts:  newContracts(),
@@ -45,23 +45,24 @@
 	}
 }
 
-// Index is the log index of the last applied command.
+// Index returns the log index of the last applied command.
 func (m *Machine) Index() uint64 { return m.index }
 
-// ConfigIndex is the log index of the last command that changed something
-// that daemons follow. Commands that change nothing for daemons leave it as it
-// is, so that they wake nobody.
+// ConfigIndex returns the log index of the last command that changed an object
+// that daemons subscribe to. Other commands leave it unchanged, so that they wake
+// no subscriber.
 func (m *Machine) ConfigIndex() uint64 { return m.configIndex }
 
-// Clock is the highest proposer's time seen; it never steps back.
+// Clock returns the highest proposer's time of the applied commands; it never goes
+// backwards.
 func (m *Machine) Clock() time.Time { return time.UnixMilli(m.clock).UTC() }
 
 // Apply executes the command at the given index, which must be above Index. It
 // returns the result for the operator and the change for the daemons, which is
-// nil when nothing changed for them.
+// nil if nothing changed for them.
 func (m *Machine) Apply(index uint64, command Command) (Result, *Change) {
 	if index <= m.index {
-		panic("state: the log went back")
+		panic("state: log index is not above the last applied index")
 	}
 	m.index = index
 	m.clock = max(m.clock, command.Time)
@@ -111,13 +112,14 @@
 	}
 }
 
-// suspect applies a command about crashing requests. Daemons follow only the
-// records that changed.
-// Suspects returns the requests against which something is held now, by fingerprint.
+// Suspects returns the suspicion records that are currently in effect, sorted by
+// fingerprint.
 func (m *Machine) Suspects() []suspicion.Record {
 	return slices.DeleteFunc(m.suspicion.Records(), func(r suspicion.Record) bool { return !r.Held(m.Clock()) })
 }
 
+// suspect applies a command about crashing requests. Daemons receive only the
+// records that changed.
 func (m *Machine) suspect(index uint64, command suspicion.Command) (Result, *Change) {
 	verdict, changed := m.suspicion.Apply(index, command, m.Clock())
 	result := Result{Code: CodeOK, Index: index, Suspicion: verdict}
--- a/coord/state/state_test.go
+++ b/coord/state/state_test.go
@@ -39,7 +39,8 @@
 	return &catalogue.Adapter{Ref: parsed, BaseModel: "base", Source: source}
 }
 
-// seeded returns a machine with one of every object, and its commands.
+// seeded returns a machine with one object of each kind, and the commands that
+// created them.
 func seeded(t testing.TB) (*state.Machine, []state.Command) {
 	commands := []state.Command{
 		createContract("cascade", 10, keyHash(1)),
@@ -61,9 +62,9 @@
 	return m, commands
 }
 
-// Two operators read the same revision and both write. Without the check the
-// second would undo the first one's change unseen.
-func TestOfTwoRacingWritersOneWinsAndTheOtherSeesTheWinner(t *testing.T) {
+// Two operators read the same revision and both write. Without the revision check
+// the second write would silently overwrite the first.
+func TestConcurrentWriteReturnsConflictWithWinner(t *testing.T) {
 	m, _ := seeded(t)
 	read, _ := m.Contract("cascade")
 	first := state.Command{PutContract: &state.PutContract{Expected: read.Revision, Contract: sampleContract("cascade", 20)}}
@@ -76,42 +77,42 @@
 		t.Fatalf("second: %+v", lost)
 	}
 	if winner := lost.Winner.Contract; winner.Limits.RequestsPerSecond != 20 || winner.Revision != 10 {
-		t.Errorf("the loser sees %+v", winner)
+		t.Errorf("the conflict returns %+v", winner)
 	}
 }
 
-// The answer to a change is lost and the operator's tool sends it again, after
-// another operator has changed the contract once more. Running it twice would
-// undo the other's change, or report a conflict for a change that took place.
-func TestResendReturnsTheFirstResultUntilItsIDExpires(t *testing.T) {
+// The answer to a change is lost and the client retries it after another operator
+// has changed the contract. Running it again would undo the other change or report
+// a conflict for a change that was applied.
+func TestRetryReturnsFirstResultUntilIDExpires(t *testing.T) {
 	m, commands := seeded(t)
 	first := commands[0]
 	result, _ := m.Apply(10, first)
 	if result.Code != state.CodeOK || result.Index != 1 {
-		t.Errorf("resend: %+v", result)
+		t.Errorf("retry: %+v", result)
 	}
 	other := createContract("cascade", 99)
 	other.OperationID = first.OperationID
 	if result, _ := m.Apply(11, other); result.Code != state.CodeReused {
 		t.Errorf("another command under the same id: %+v", result)
 	}
-	// A proposer whose clock is behind does not turn the machine's back.
-	late := first
-	late.Time = first.Time + state.OperationAge.Milliseconds()
-	if result, _ := m.Apply(12, late); result.Code != state.CodeOK || result.Index != 1 {
-		t.Errorf("an identical contract: %+v", result)
+	// A command of a proposer whose clock is behind does not set the machine's clock back.
+	expired := first
+	expired.Time = first.Time + state.OperationAge.Milliseconds()
+	if result, _ := m.Apply(12, expired); result.Code != state.CodeOK || result.Index != 1 {
+		t.Errorf("identical contract: %+v", result)
 	}
-	late.PutContract = &state.PutContract{Contract: sampleContract("cascade", 77)}
-	late.OperationID = "fresh"
-	if result, _ := m.Apply(13, late); result.Code != state.CodeConflict {
-		t.Errorf("an expired resend with another body: %+v", result)
+	expired.PutContract = &state.PutContract{Contract: sampleContract("cascade", 77)}
+	expired.OperationID = "fresh"
+	if result, _ := m.Apply(13, expired); result.Code != state.CodeConflict {
+		t.Errorf("expired retry with another body: %+v", result)
 	}
-	if want := time.UnixMilli(late.Time).UTC(); !m.Clock().Equal(want) {
+	if want := time.UnixMilli(expired.Time).UTC(); !m.Clock().Equal(want) {
 		t.Errorf("clock %s, want %s", m.Clock(), want)
 	}
 }
 
-func TestRules(t *testing.T) {
+func TestCommandValidation(t *testing.T) {
 	long := strings.Repeat("x", 200)
 	cases := []struct {
 		name    string
@@ -120,20 +121,20 @@
 	}{
 		{"empty command", state.Command{}, state.CodeInvalid},
 		{"long operation id", state.Command{OperationID: long, PutModel: &catalogue.Model{Name: "base"}}, state.CodeInvalid},
-		{"unknown contract's revision", state.Command{PutContract: &state.PutContract{Expected: 9, Contract: sampleContract("new", 1)}}, state.CodeConflict},
+		{"revision of an unknown contract", state.Command{PutContract: &state.PutContract{Expected: 9, Contract: sampleContract("new", 1)}}, state.CodeConflict},
 		{"key of another contract", createContract("thief", 1, keyHash(1)), state.CodeInvalid},
 		{"key listed twice", createContract("twice", 1, keyHash(2), keyHash(2)), state.CodeInvalid},
-		{"key in the clear", createContract("clear", 1, "secret"), state.CodeInvalid},
-		{"no rate", createContract("rateless", 0), state.CodeInvalid},
-		{"key for no contract", state.Command{ChangeKeys: &state.ChangeKeys{Contract: "nobody", Add: keyHash(3)}}, state.CodeNotFound},
+		{"plain-text key", createContract("clear", 1, "secret"), state.CodeInvalid},
+		{"rate of 0", createContract("rateless", 0), state.CodeInvalid},
+		{"key for an unknown contract", state.Command{ChangeKeys: &state.ChangeKeys{Contract: "nobody", Add: keyHash(3)}}, state.CodeNotFound},
 		{"rotate", state.Command{ChangeKeys: &state.ChangeKeys{Contract: "cascade", Add: keyHash(3), Remove: keyHash(1)}}, state.CodeOK},
 		{"remove an unknown key", state.Command{ChangeKeys: &state.ChangeKeys{Contract: "cascade", Remove: keyHash(4)}}, state.CodeNotFound},
-		{"same version, other weights", state.Command{PutAdapter: adapter("quote-draft@1", "store://2")}, state.CodeConflict},
+		{"same version, different weights", state.Command{PutAdapter: adapter("quote-draft@1", "store://2")}, state.CodeConflict},
 		{"same version again", state.Command{PutAdapter: adapter("quote-draft@1", "store://1")}, state.CodeOK},
-		{"no such model", state.Command{PutAdapter: &catalogue.Adapter{Ref: catalogue.Ref{Adapter: "a", Version: "1"}, BaseModel: "none", Source: "s"}}, state.CodeNotFound},
+		{"unknown base model", state.Command{PutAdapter: &catalogue.Adapter{Ref: catalogue.Ref{Adapter: "a", Version: "1"}, BaseModel: "none", Source: "s"}}, state.CodeNotFound},
 		{"retire an unknown adapter", state.Command{RetireAdapter: &state.RetireAdapter{Ref: catalogue.Ref{Adapter: "a", Version: "1"}}}, state.CodeNotFound},
-		{"stale service", state.Command{PutService: &state.PutService{Service: catalogue.Service{Name: "dock", Routes: []catalogue.Route{{Method: "GET", PathPrefix: "/"}}}}}, state.CodeConflict},
-		{"stale server", state.Command{PutServer: &state.PutServer{Server: state.Server{Name: "floor-1", Wanted: state.WantedServing}}}, state.CodeConflict},
+		{"stale service revision", state.Command{PutService: &state.PutService{Service: catalogue.Service{Name: "dock", Routes: []catalogue.Route{{Method: "GET", PathPrefix: "/"}}}}}, state.CodeConflict},
+		{"stale server revision", state.Command{PutServer: &state.PutServer{Server: state.Server{Name: "floor-1", Wanted: state.WantedServing}}}, state.CodeConflict},
 		{"unknown wanted state", state.Command{PutServer: &state.PutServer{Server: state.Server{Name: "floor-2", Wanted: "gone"}}}, state.CodeInvalid},
 		{"long server name", state.Command{PutServer: &state.PutServer{Server: state.Server{Name: long, Wanted: state.WantedServing}}}, state.CodeInvalid},
 		{"fence without holder", state.Command{Fence: &state.Fence{Server: "floor-1"}}, state.CodeInvalid},
@@ -146,7 +147,7 @@
 			t.Errorf("%s: %+v, want %s", c.name, result, c.code)
 		}
 		if (change != nil) != (m.ConfigIndex() != before) {
-			t.Errorf("%s: the feed's index must move exactly with a change", c.name)
+			t.Errorf("%s: ConfigIndex must change if and only if a change is returned", c.name)
 		}
 	}
 }
@@ -173,56 +174,56 @@
 	}
 }
 
-// naive is the state as a plain map from an object's name to its text, with
-// the rules written out once more.
-type naive struct {
+// reference is a reference model of the state: a plain map from an object's name
+// to its text, with an independent implementation of the rules.
+type reference struct {
 	objects  map[string]string
 	revision map[string]uint64
 	fencing  map[string]uint64
 	results  map[string]string
 }
 
-func (n *naive) put(key, text string, expected, index uint64) state.Code {
-	if n.objects[key] == text {
+func (r *reference) put(key, text string, expected, index uint64) state.Code {
+	if r.objects[key] == text {
 		return state.CodeOK
 	}
-	if n.revision[key] != expected {
+	if r.revision[key] != expected {
 		return state.CodeConflict
 	}
-	n.objects[key], n.revision[key] = text, index
+	r.objects[key], r.revision[key] = text, index
 	return state.CodeOK
 }
 
-func (n *naive) apply(index uint64, c state.Command) state.Code {
+func (r *reference) apply(index uint64, c state.Command) state.Code {
 	switch {
 	case c.PutContract != nil:
 		text := fmt.Sprint(c.PutContract.Contract.Limits.RequestsPerSecond)
-		return n.put("contract/"+c.PutContract.Contract.ID, text, c.PutContract.Expected, index)
+		return r.put("contract/"+c.PutContract.Contract.ID, text, c.PutContract.Expected, index)
 	case c.PutAdapter != nil:
 		key := "adapter/" + c.PutAdapter.Ref.String()
-		return n.put(key, c.PutAdapter.Source, n.revision["never"], index)
+		return r.put(key, c.PutAdapter.Source, r.revision["never"], index)
 	case c.RetireAdapter != nil:
 		key := "adapter/" + c.RetireAdapter.Ref.String()
-		if _, exists := n.objects[key]; !exists {
+		if _, exists := r.objects[key]; !exists {
 			return state.CodeNotFound
 		}
-		n.objects[key] = "retired"
+		r.objects[key] = "retired"
 		return state.CodeOK
 	case c.PutServer != nil:
-		return n.put("server/"+c.PutServer.Server.Name, string(c.PutServer.Server.Wanted), c.PutServer.Expected, index)
+		return r.put("server/"+c.PutServer.Server.Name, string(c.PutServer.Server.Wanted), c.PutServer.Expected, index)
 	default:
-		n.fencing[c.Fence.Server]++
+		r.fencing[c.Fence.Server]++
 		return state.CodeOK
 	}
 }
 
-func drawCommand(t *rapid.T, n *naive) state.Command {
+func drawCommand(t *rapid.T, r *reference) state.Command {
 	name := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")
 	revision := func(key string) uint64 {
 		if rapid.Bool().Draw(t, "stale") {
 			return rapid.Uint64Range(0, 5).Draw(t, "revision")
 		}
-		return n.revision[key]
+		return r.revision[key]
 	}
 	switch rapid.IntRange(0, 4).Draw(t, "kind") {
 	case 0:
@@ -240,7 +241,7 @@
 	}
 }
 
-func (n *naive) check(t *rapid.T, m *state.Machine) {
+func (r *reference) check(t *rapid.T, m *state.Machine) {
 	got := make(map[string]string)
 	for _, c := range m.Contracts() {
 		got["contract/"+c.ID] = fmt.Sprint(c.Limits.RequestsPerSecond)
@@ -255,44 +256,45 @@
 	for _, s := range m.Servers() {
 		got["server/"+s.Name] = string(s.Wanted)
 	}
-	if fmt.Sprint(got) != fmt.Sprint(n.objects) {
-		t.Fatalf("state %v, want %v", got, n.objects)
+	if fmt.Sprint(got) != fmt.Sprint(r.objects) {
+		t.Fatalf("state %v, want %v", got, r.objects)
 	}
-	for server, number := range n.fencing {
+	for server, number := range r.fencing {
 		if f, _ := m.Fencing(server); f.Number != number {
 			t.Fatalf("fencing of %s is %d, want %d", server, f.Number, number)
 		}
 	}
 }
 
-// Random commands, resends and restarts from a snapshot must leave what a
-// plain map holds, and the same bytes on an instance that never restarted.
-func TestMachineAgreesWithANaiveMap(t *testing.T) {
+// After random commands, retries and restarts from a snapshot, the machine must
+// match the reference model and encode to the same bytes as an instance that never
+// restarted.
+func TestMachineMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := &naive{objects: map[string]string{}, revision: map[string]uint64{}, fencing: map[string]uint64{}, results: map[string]string{}}
-		restarted, steady := state.NewMachine(), state.NewMachine()
+		r := &reference{objects: map[string]string{}, revision: map[string]uint64{}, fencing: map[string]uint64{}, results: map[string]string{}}
+		restarted, continuous := state.NewMachine(), state.NewMachine()
 		model := state.Command{PutModel: &catalogue.Model{Name: "base"}}
 		restarted.Apply(1, model)
-		steady.Apply(1, model)
+		continuous.Apply(1, model)
 		var sent []state.Command
-		// frozen must stay as it was although the machine goes on.
+		// frozen must not change while the machine applies further commands.
 		frozen, frozenBytes := restarted.Freeze(), encoded(t, restarted)
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		for index := uint64(2); index < uint64(steps)+2; index++ {
-			command := drawCommand(t, n)
+			command := drawCommand(t, r)
 			command.OperationID = fmt.Sprint("op-", index)
-			resend := len(sent) > 0 && rapid.IntRange(0, 3).Draw(t, "resend") == 0
-			if resend {
+			retry := len(sent) > 0 && rapid.IntRange(0, 3).Draw(t, "resend") == 0
+			if retry {
 				command = rapid.SampledFrom(sent).Draw(t, "again")
 			}
-			want := n.results[command.OperationID]
-			if !resend {
-				want = string(n.apply(index, command))
-				n.results[command.OperationID] = want
+			want := r.results[command.OperationID]
+			if !retry {
+				want = string(r.apply(index, command))
+				r.results[command.OperationID] = want
 				sent = append(sent, command)
 			}
 			result, _ := restarted.Apply(index, command)
-			steady.Apply(index, command)
+			continuous.Apply(index, command)
 			if string(result.Code) != want {
 				t.Fatalf("%d: got %+v, want %s", index, result, want)
 			}
@@ -303,12 +305,12 @@
 				frozen, frozenBytes = restarted.Freeze(), encoded(t, restarted)
 			}
 		}
-		n.check(t, restarted)
+		r.check(t, restarted)
 		if data, err := frozen.Encode(); err != nil || !bytes.Equal(data, frozenBytes) {
-			t.Fatalf("a frozen state changed, %v", err)
+			t.Fatalf("frozen state changed, error %v", err)
 		}
-		if !bytes.Equal(encoded(t, restarted), encoded(t, steady)) {
-			t.Fatal("two instances with the same log hold different bytes")
+		if !bytes.Equal(encoded(t, restarted), encoded(t, continuous)) {
+			t.Fatal("two instances with the same log encode to different bytes")
 		}
 	})
 }
@@ -331,19 +333,19 @@
 	return decoded
 }
 
-// A bit flips on the disk or the file is cut. Loading it would bring back
-// contracts that nobody wrote.
+// A bit of the snapshot flips on disk or the file is truncated. Loading it would
+// produce contracts that were never written.
 func TestDamagedSnapshotIsRefused(t *testing.T) {
 	m, _ := seeded(t)
-	whole := encoded(t, m)
-	for i := range whole {
-		damaged := slices.Clone(whole)
+	data := encoded(t, m)
+	for i := range data {
+		damaged := slices.Clone(data)
 		damaged[i] ^= 0x10
 		if _, err := state.Decode(damaged); err == nil {
-			t.Fatalf("a flipped bit in byte %d was taken", i)
+			t.Fatalf("snapshot with a flipped bit in byte %d was accepted", i)
 		}
-		if _, err := state.Decode(whole[:i]); err == nil {
-			t.Fatalf("a snapshot cut at byte %d was taken", i)
+		if _, err := state.Decode(data[:i]); err == nil {
+			t.Fatalf("snapshot truncated at byte %d was accepted", i)
 		}
 	}
 }
