--- a/coord/catalogue/catalogue.go
+++ b/coord/catalogue/catalogue.go
@@ -1,5 +1,5 @@
-// Package catalogue describes what can be asked for: base models, adapters in
-// immutable versions, and plain services with their routes.
+// Package catalogue describes what callers can request: base models, immutable
+// adapter versions, and plain services with their routes.
 package catalogue
 
 import (
@@ -8,16 +8,16 @@
 	"github.com/pkg/errors"
 )
 
-// MaxNameLength bounds every name in the catalogue, in bytes.
+// MaxNameLength is the maximum length of a name in the catalogue in bytes.
 const MaxNameLength = 128
 
-// MaxSourceLength bounds an adapter's place in the weight store, in bytes.
+// MaxSourceLength is the maximum length in bytes of an adapter's location in the
+// weight store.
 const MaxSourceLength = 1024
 
-// Ref names exactly one adapter in exactly one version. Its text form
-// "adapter@version" is also the name under which an engine loads it, so an
-// engine that lost its adapters in a restart refuses the name instead of
-// answering with the base model.
+// Ref identifies one version of one adapter. Its text form "adapter@version" is
+// also the name under which an engine loads it, so that an engine that lost its
+// adapters in a restart refuses the name instead of answering with the base model.
 type Ref struct {
 	Adapter string
 	Version string
@@ -26,7 +26,7 @@
 // String returns "adapter@version".
 func (r Ref) String() string { return r.Adapter + "@" + r.Version }
 
-// Compare orders versions by adapter, then by version.
+// Compare orders refs by adapter, then by version.
 func (r Ref) Compare(o Ref) int {
 	if c := strings.Compare(r.Adapter, o.Adapter); c != 0 {
 		return c
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// ParseRef reads "adapter@version". Both parts must be valid names.
+// ParseRef parses "adapter@version". Both parts must be valid names.
 func ParseRef(text string) (Ref, error) {
 	adapter, version, found := strings.Cut(text, "@")
 	if !found {
@@ -62,7 +62,7 @@
 	return Ref{Adapter: adapter, Version: version}, nil
 }
 
-// CheckName accepts letters, digits, '.', '_' and '-', from 1 to MaxNameLength bytes.
+// CheckName returns an error unless name consists of 1 to MaxNameLength letters, digits, '.', '_' and '-'.
 func CheckName(name string) error {
 	if name == "" || len(name) > MaxNameLength {
 		return errors.Errorf("name %q must have 1 to %d bytes", name, MaxNameLength)
@@ -77,12 +77,12 @@
 	return nil
 }
 
-// Model is a base model that adapters were trained for and engines serve.
+// Model is a base model that engines serve and adapters are trained for.
 type Model struct {
 	Name string `json:"name"`
 }
 
-// Validate reports the first rule that the model breaks.
+// Validate returns an error for the first rule that the model violates.
 func (m Model) Validate() error {
 	return errors.Wrap(CheckName(m.Name), "base model")
 }
@@ -90,15 +90,16 @@
 // Adapter is one immutable version of a LoRA adapter.
 type Adapter struct {
 	Ref Ref `json:"ref"`
-	// BaseModel is the model that the adapter was trained for.
+	// BaseModel is the name of the model that the adapter was trained for.
 	BaseModel string `json:"baseModel"`
-	// Source is the location in the weight store that engines load from.
+	// Source is the location in the weight store from which engines load the
+	// adapter.
 	Source string `json:"source"`
-	// Retired versions are served no more; their name stays taken.
+	// Retired marks a version that is no longer served; its name stays reserved.
 	Retired bool `json:"retired,omitempty"`
 }
 
-// Validate reports the first rule that the adapter breaks.
+// Validate returns an error for the first rule that the adapter violates.
 func (a Adapter) Validate() error {
 	if _, err := ParseRef(a.Ref.String()); err != nil {
 		return err
@@ -112,19 +113,20 @@
 	return nil
 }
 
-// Route declares one class of calls to a plain service.
+// Route declares a class of calls to a plain service.
 type Route struct {
 	// Method is the HTTP method.
 	Method string `json:"method"`
-	// PathPrefix is matched below the service's root; the longest match wins.
+	// PathPrefix is matched relative to the service's root; the longest match wins.
 	PathPrefix string `json:"pathPrefix"`
-	// Idempotent says that running a call twice has the effect of running it once.
+	// Idempotent means that running a call twice has the same effect as running it
+	// once.
 	Idempotent bool `json:"idempotent"`
-	// RequireKey refuses calls that carry no Idempotency-Key.
+	// RequireKey means that calls without an Idempotency-Key are refused.
 	RequireKey bool `json:"requireKey,omitempty"`
 }
 
-// Service is a plain service beside the engines, such as a booking desk.
+// Service is a plain service other than an engine, such as a booking system.
 type Service struct {
 	Name   string  `json:"name"`
 	Routes []Route `json:"routes"`
@@ -132,7 +134,7 @@
 	Revision uint64 `json:"revision,omitempty"`
 }
 
-// Validate reports the first rule that the service breaks.
+// Validate returns an error for the first rule that the service violates.
 func (s Service) Validate() error {
 	if err := CheckName(s.Name); err != nil {
 		return errors.Wrap(err, "service")
@@ -148,9 +150,9 @@
 	return nil
 }
 
-// Match returns the route with the longest path prefix for a call. A call that
-// matches no route is refused by the entry: an undeclared call has no known
-// idempotency, and guessing could run it twice.
+// Match returns the route with the longest matching path prefix. The entry refuses
+// calls that match no route: it is unknown whether an undeclared call is
+// idempotent, and a wrong guess could run it twice.
 func (s Service) Match(method, path string) (Route, bool) {
 	best, found := Route{}, false
 	for _, route := range s.Routes {
--- a/coord/catalogue/example_test.go
+++ b/coord/catalogue/example_test.go
@@ -6,7 +6,7 @@
 	"github.com/rosemarypass/rosemarypass/coord/catalogue"
 )
 
-// A version is immutable: adding it again with other weights changes nothing.
+// A version is immutable: adding it again with different weights has no effect.
 func ExampleTable() {
 	ref, err := catalogue.ParseRef("quote-draft@7")
 	fmt.Println(err)
--- a/coord/catalogue/ref_test.go
+++ b/coord/catalogue/ref_test.go
@@ -6,8 +6,8 @@
 	"github.com/rosemarypass/rosemarypass/coord/catalogue"
 )
 
-// A caller may write anything as its model. What is accepted must name exactly
-// one adapter and version, by the text that an engine will be given.
+// A caller can send arbitrary text as its model. Accepted text must identify
+// exactly one adapter and version, and must equal the name passed to the engine.
 func FuzzParseRef(f *testing.F) {
 	for _, text := range []string{"plan@1", "a@b@c", "@", "a@", "plan @1", "a/../b@1"} {
 		f.Add(text)
@@ -19,7 +19,7 @@
 		}
 		again, err := catalogue.ParseRef(ref.String())
 		if ref.String() != text || err != nil || again != ref {
-			t.Errorf("%q was read as %q, then %q, %v", text, ref, again, err)
+			t.Errorf("%q was parsed as %q, then as %q, error %v", text, ref, again, err)
 		}
 	})
 }
--- a/coord/catalogue/table.go
+++ b/coord/catalogue/table.go
@@ -9,42 +9,42 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Table holds very many adapter versions in little memory: records lie packed
-// in byte chunks without pointers, base models and the common parts of sources
-// are interned. Versions are immutable and are never removed, only retired.
-// It is not safe for concurrent use.
+// Table is a memory-efficient table for large numbers of adapter versions: records
+// are packed into byte chunks without pointers, and base models and common parts
+// of sources are interned. Versions are immutable and are never removed, only
+// retired. It is not safe for concurrent use.
 type Table struct {
-	// slots is an open-addressing hash table of record positions plus one;
-	// 0 is empty. Its length is a power of two.
+	// slots is an open-addressing hash table of record positions plus one; 0 marks
+	// an empty slot. Its length is a power of two.
 	slots  []uint32
 	count  int
 	chunks [][]byte
 	models interner
-	// templates are sources with the "adapter@version" taken out.
+	// templates holds sources with "adapter@version" replaced by refPlaceholder.
 	templates interner
 }
 
 const (
-	chunkBits     = 16
-	chunkSize     = 1 << chunkBits
-	minSlots      = 64
-	maxLoadNumer  = 3
-	maxLoadDenom  = 4
-	refMark       = "\x00"
-	flagRetired   = 1
-	flagTemplated = 2
-	maxTemplates  = 256
+	chunkBits      = 16
+	chunkSize      = 1 << chunkBits
+	minSlots       = 64
+	maxLoadNumer   = 3
+	maxLoadDenom   = 4
+	refPlaceholder = "\x00"
+	flagRetired    = 1
+	flagTemplated  = 2
+	maxTemplates   = 256
 )
 
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{slots: make([]uint32, minSlots)} }
 
-// Len is the number of versions, retired ones included.
+// Len returns the number of versions, including retired ones.
 func (t *Table) Len() int { return t.count }
 
-// Put adds a version, or retires a known one when the given one is retired. A
-// known version is otherwise left as it is: a delayed message must neither
-// change its weights nor bring a retired one back.
+// Put adds a version, or retires an existing one if the given one is retired.
+// Otherwise an existing version is unchanged: a delayed message must neither change
+// its weights nor reactivate a retired version.
 func (t *Table) Put(a Adapter) {
 	if position, found := t.find(a.Ref); found {
 		if a.Retired {
@@ -59,8 +59,8 @@
 	t.count++
 }
 
-// Clone returns an independent copy. It costs little more than copying the
-// table's bytes.
+// Clone returns an independent copy. Its cost is little more than that of copying
+// the table's bytes.
 func (t *Table) Clone() *Table {
 	clone := &Table{
 		slots:     slices.Clone(t.slots),
@@ -70,27 +70,27 @@
 		templates: t.templates.clone(),
 	}
 	for i, chunk := range t.chunks {
-		// The last chunk keeps its room: records are appended in place.
+		// Preserve the capacity of the last chunk: records are appended in place.
 		clone.chunks[i] = append(make([]byte, 0, chunkSize), chunk...)
 	}
 	return clone
 }
 
-// Get returns a version, retired ones included.
+// Get returns a version, including retired ones.
 func (t *Table) Get(ref Ref) (Adapter, bool) {
 	position, found := t.find(ref)
 	if !found {
 		return Adapter{}, false
 	}
-	return t.read(t.record(position)), true
+	return t.decode(t.record(position)), true
 }
 
-// Sorted returns all versions by adapter and version.
+// Sorted returns all versions, sorted by adapter and version.
 func (t *Table) Sorted() []Adapter {
 	all := make([]Adapter, 0, t.count)
 	for _, slot := range t.slots {
 		if slot != 0 {
-			all = append(all, t.read(t.record(slot-1)))
+			all = append(all, t.decode(t.record(slot-1)))
 		}
 	}
 	slices.SortFunc(all, func(a, b Adapter) int { return a.Ref.Compare(b.Ref) })
@@ -110,7 +110,7 @@
 	mask := uint64(len(t.slots) - 1)
 	for i := hash(ref) & mask; t.slots[i] != 0; i = (i + 1) & mask {
 		position = t.slots[i] - 1
-		if t.holds(t.record(position), ref) {
+		if t.matches(t.record(position), ref) {
 			return position, true
 		}
 	}
@@ -131,17 +131,17 @@
 	t.slots = make([]uint32, 2*len(old))
 	for _, slot := range old {
 		if slot != 0 {
-			t.insert(hash(t.read(t.record(slot-1)).Ref), slot-1)
+			t.insert(hash(t.decode(t.record(slot-1)).Ref), slot-1)
 		}
 	}
 }
 
-// record returns the chunk from a record's first byte on.
+// record returns the chunk starting at a record's first byte.
 func (t *Table) record(position uint32) []byte {
 	return t.chunks[position>>chunkBits][position&(chunkSize-1):]
 }
 
-// append writes a record: flags, adapter, version, model, source.
+// append encodes and stores a record: flags, adapter, version, model, source.
 func (t *Table) append(a Adapter) uint32 {
 	flags := byte(0)
 	if a.Retired {
@@ -160,14 +160,15 @@
 	} else {
 		record = appendText(record, a.Source)
 	}
-	return t.place(record)
+	return t.store(record)
 }
 
-// template returns the number of the source's template. Sources that follow no
-// common form are stored whole: a template for each would cost more.
+// template returns the number of the source's template, or false if the source has
+// none. Sources without a common form are stored verbatim: a template for each
+// would use more memory.
 func (t *Table) template(a Adapter) (uint64, bool) {
-	text := strings.Replace(a.Source, a.Ref.String(), refMark, 1)
-	if text == a.Source || strings.Contains(a.Source, refMark) {
+	text := strings.Replace(a.Source, a.Ref.String(), refPlaceholder, 1)
+	if text == a.Source || strings.Contains(a.Source, refPlaceholder) {
 		return 0, false
 	}
 	if _, known := t.templates.numbers[text]; !known && len(t.templates.texts) >= maxTemplates {
@@ -176,7 +177,7 @@
 	return t.templates.intern(text), true
 }
 
-func (t *Table) place(record []byte) uint32 {
+func (t *Table) store(record []byte) uint32 {
 	last := len(t.chunks) - 1
 	if last < 0 || len(t.chunks[last])+len(record) > chunkSize {
 		t.chunks = append(t.chunks, make([]byte, 0, chunkSize))
@@ -187,7 +188,7 @@
 	return uint32(last)<<chunkBits | uint32(offset)
 }
 
-func (t *Table) holds(record []byte, ref Ref) bool {
+func (t *Table) matches(record []byte, ref Ref) bool {
 	adapter, rest := cutText(record[1:])
 	if string(adapter) != ref.Adapter {
 		return false
@@ -196,7 +197,7 @@
 	return string(version) == ref.Version
 }
 
-func (t *Table) read(record []byte) Adapter {
+func (t *Table) decode(record []byte) Adapter {
 	adapter, rest := cutText(record[1:])
 	version, rest := cutText(rest)
 	model, size := binary.Uvarint(rest)
@@ -212,7 +213,7 @@
 		return a
 	}
 	template, _ := binary.Uvarint(rest)
-	a.Source = strings.Replace(t.templates.texts[template], refMark, a.Ref.String(), 1)
+	a.Source = strings.Replace(t.templates.texts[template], refPlaceholder, a.Ref.String(), 1)
 	return a
 }
 
@@ -226,7 +227,7 @@
 	return record[size:end], record[end:]
 }
 
-// interner numbers texts that occur often.
+// interner assigns numbers to texts that occur frequently.
 type interner struct {
 	texts   []string
 	numbers map[string]uint64
--- a/coord/catalogue/table_test.go
+++ b/coord/catalogue/table_test.go
@@ -10,7 +10,7 @@
 	"github.com/rosemarypass/rosemarypass/coord/internal/liveheap"
 )
 
-// drawAdapter draws from few names, so that versions meet again.
+// drawAdapter draws from few names, so that versions repeat.
 func drawAdapter(t *rapid.T) catalogue.Adapter {
 	a := catalogue.Adapter{
 		Ref: catalogue.Ref{
@@ -24,35 +24,35 @@
 	return a
 }
 
-func TestTableAgreesWithAMap(t *testing.T) {
+func TestTableMatchesMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, naive := catalogue.NewTable(), make(map[catalogue.Ref]catalogue.Adapter)
+		table, reference := catalogue.NewTable(), make(map[catalogue.Ref]catalogue.Adapter)
 		original := catalogue.NewTable()
 		for range rapid.IntRange(0, 300).Draw(t, "puts") {
 			a := drawAdapter(t)
 			if rapid.IntRange(0, 20).Draw(t, "clone") == 0 {
 				original, table = table, table.Clone()
 			}
-			// What the table was cloned from goes its own way.
+			// Changes of the original must not affect its clone.
 			original.Put(drawAdapter(t))
 			table.Put(a)
-			known, exists := naive[a.Ref]
+			known, exists := reference[a.Ref]
 			if exists {
 				known.Retired = known.Retired || a.Retired
 				a = known
 			}
-			naive[a.Ref] = a
+			reference[a.Ref] = a
 		}
-		if table.Len() != len(naive) || len(table.Sorted()) != len(naive) {
-			t.Fatalf("%d versions, want %d", table.Len(), len(naive))
+		if table.Len() != len(reference) || len(table.Sorted()) != len(reference) {
+			t.Fatalf("%d versions, want %d", table.Len(), len(reference))
 		}
-		for ref, want := range naive {
+		for ref, want := range reference {
 			if got, found := table.Get(ref); !found || got != want {
 				t.Fatalf("%s: got %+v, want %+v", ref, got, want)
 			}
 		}
 		if _, found := table.Get(catalogue.Ref{Adapter: "absent", Version: "1"}); found {
-			t.Fatal("an absent version was found")
+			t.Fatal("found an absent version")
 		}
 	})
 }
@@ -62,7 +62,7 @@
 	return catalogue.Adapter{Ref: ref, BaseModel: fmt.Sprint("base-", i%5), Source: "store://adapters/" + ref.String()}
 }
 
-// BenchmarkMemory compares the table's bytes for each adapter with a plain map's.
+// BenchmarkMemory compares the memory per adapter of the table and of a plain map.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{3_000, 130_000} {
 		b.Run(fmt.Sprintf("table/%d", n), func(b *testing.B) {
