--- a/coord/document/document.go
+++ b/coord/document/document.go
@@ -1,8 +1,8 @@
-// Package document is the replicated state of a deployment whose configuration
-// is one versioned document: the document in force, where the highest version
-// wins, and the newest version of each adapter that was named.
+// Package document implements the replicated state of a deployment whose
+// configuration is one versioned document: the current document, which is the one
+// with the highest version, and the newest reported version of each adapter.
 //
-// Machine is deterministic: the same commands give the same state on every
+// Machine is deterministic: the same commands produce the same state on every
 // instance of the log.
 package document
 
@@ -19,47 +19,47 @@
 	Name *Name `json:"name,omitempty"`
 }
 
-// Put offers a whole configuration.
+// Put proposes a complete configuration document.
 type Put struct {
 	Version uint64 `json:"version"`
-	// Body is the document as the operator sent it; it was checked before it
-	// was proposed.
+	// Body is the document as sent by the operator; it is validated before it is
+	// proposed.
 	Body json.RawMessage `json:"body"`
 }
 
-// Name tells of an adapter's version.
+// Name reports a version of an adapter.
 type Name struct {
 	Adapter string `json:"adapter"`
 	Version int64  `json:"version"`
 }
 
-// State is what is in force.
+// State is the current configuration and adapter versions.
 type State struct {
-	// Index is the log's index of the last change that had an effect.
+	// Index is the log index of the last command that changed the state.
 	Index uint64 `json:"index"`
-	// Version and Body are those of the configuration, 0 and nil before the
+	// Version and Body are those of the current document, 0 and nil before the
 	// first one.
 	Version uint64          `json:"version"`
 	Body    json.RawMessage `json:"body,omitempty"`
-	// Adapters are the newest versions that were named.
+	// Adapters maps each adapter to its newest reported version.
 	Adapters map[string]int64 `json:"adapters,omitempty"`
 }
 
-// Clone returns a copy that shares nothing that changes.
+// Clone returns a copy that shares no mutable data with s.
 func (s State) Clone() State {
 	s.Adapters = maps.Clone(s.Adapters)
 	return s
 }
 
-// Machine holds the state. The zero value is ready for use.
+// Machine holds the state. The zero value is ready to use.
 type Machine struct{ state State }
 
 // State returns a copy of the state.
 func (m *Machine) State() State { return m.state.Clone() }
 
-// Apply executes a committed command and reports whether it changed anything.
-// An older or equal version changes nothing: what is in force stays, also when
-// the content differs.
+// Apply executes a committed command and reports whether it changed the state. A
+// version that is not higher than the current one has no effect, even if its
+// content differs.
 func (m *Machine) Apply(index uint64, data []byte) (bool, error) {
 	var command Command
 	if err := json.Unmarshal(data, &command); err != nil {
@@ -95,7 +95,7 @@
 // Snapshot encodes the state.
 func (m *Machine) Snapshot() ([]byte, error) { return json.Marshal(m.state) }
 
-// Restore replaces the state by an encoded one.
+// Restore replaces the state with one encoded by Snapshot.
 func (m *Machine) Restore(data []byte) error {
 	var state State
 	if err := json.Unmarshal(data, &state); err != nil {
--- a/coord/document/document_test.go
+++ b/coord/document/document_test.go
@@ -18,10 +18,10 @@
 	return data
 }
 
-// Two operators send documents under one number, or an old one arrives again
-// behind a newer one. Whoever reads must find the first content of the highest
-// number: an operator that was told "accepted" would otherwise see its routes
-// change back.
+// Two operators send different documents with the same version, or an old one
+// arrives again after a newer one. Readers must get the first content of the
+// highest version: otherwise the routes of an operator whose document was accepted
+// would revert.
 func TestTheHighestVersionStays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var m Machine
@@ -35,19 +35,19 @@
 				t.Fatal(err)
 			}
 			if higher := version > highest; changed != higher {
-				t.Fatalf("version %d behind %d: changed = %v", version, highest, changed)
+				t.Fatalf("version %d after %d: changed = %v", version, highest, changed)
 			}
 			if version > highest {
 				highest, first[version] = version, body
 			}
 			if s := m.State(); s.Version != highest || string(s.Body) != first[highest] {
-				t.Fatalf("in force is version %d with %s, want %d with %s", s.Version, s.Body, highest, first[highest])
+				t.Fatalf("current version %d with %s, want %d with %s", s.Version, s.Body, highest, first[highest])
 			}
 		}
 	})
 }
 
-func TestVersionsOfAdaptersOnlyRise(t *testing.T) {
+func TestAdapterVersionsNeverDecrease(t *testing.T) {
 	var m Machine
 	for i, step := range []struct {
 		version int64
@@ -57,15 +57,15 @@
 			t.Fatal(err)
 		}
 		if got := m.State().Adapters["m/a"]; got != step.want {
-			t.Errorf("after version %d the adapter has %d, want %d", step.version, got, step.want)
+			t.Errorf("after version %d the adapter has version %d, want %d", step.version, got, step.want)
 		}
 	}
 	if got := m.State().Index; got != 2 {
-		t.Errorf("the index is %d, want 2: later commands changed nothing", got)
+		t.Errorf("index %d, want 2: later commands have no effect", got)
 	}
 }
 
-func TestASnapshotHoldsTheWholeState(t *testing.T) {
+func TestSnapshotRoundTrip(t *testing.T) {
 	var m, restored Machine
 	for i, command := range [][]byte{put(3, `{"a":1}`), name("m/a", 7)} {
 		if _, err := m.Apply(uint64(i+1), command); err != nil {
@@ -85,9 +85,9 @@
 	}
 }
 
-func TestACommandThatCannotBeReadChangesNothing(t *testing.T) {
+func TestInvalidCommandHasNoEffect(t *testing.T) {
 	var m Machine
 	if changed, err := m.Apply(1, []byte(`{"put":`)); changed || err == nil {
-		t.Errorf("Apply gave changed = %v, error %v", changed, err)
+		t.Errorf("Apply returned changed = %v, error %v", changed, err)
 	}
 }
