--- a/coord/claim/table.go
+++ b/coord/claim/table.go
@@ -38,9 +38,9 @@
 // Tombstone is the record of an expired key without a timestamp.
 type Tombstone struct {
 	Digest []byte `json:"digest"`
-	// Forget is the time at which the tombstone is deleted, in milliseconds since
+	// Expires is the time at which the tombstone is deleted, in milliseconds since
 	// the Unix epoch.
-	Forget int64 `json:"forget"`
+	Expires int64 `json:"forget"`
 }
 
 // Table holds the claims. It is not safe for concurrent use.
@@ -264,9 +264,9 @@
 	t.addTombstone(digestOf(c.ID), c.Expires+(TombstoneAge-Age).Milliseconds())
 }
 
-func (t *Table) addTombstone(d digest, forget int64) {
-	t.tombstones[d] = forget
-	t.tombstoneDeadlines.push(deadline[digest]{id: d, at: forget})
+func (t *Table) addTombstone(d digest, expires int64) {
+	t.tombstones[d] = expires
+	t.tombstoneDeadlines.push(deadline[digest]{id: d, at: expires})
 }
 
 // Len returns the number of claims that have not expired.
@@ -275,8 +275,8 @@
 // Tombstones returns all tombstones, sorted by digest.
 func (t *Table) Tombstones() []Tombstone {
 	all := make([]Tombstone, 0, len(t.tombstones))
-	for d, forget := range t.tombstones {
-		all = append(all, Tombstone{Digest: bytes.Clone(d[:]), Forget: forget})
+	for d, expires := range t.tombstones {
+		all = append(all, Tombstone{Digest: bytes.Clone(d[:]), Expires: expires})
 	}
 	slices.SortFunc(all, func(a, b Tombstone) int { return bytes.Compare(a.Digest, b.Digest) })
 	return all
@@ -302,8 +302,8 @@
 		t.add(&c)
 	}
 	byExpiry := slices.Clone(tombstones)
-	slices.SortStableFunc(byExpiry, func(a, b Tombstone) int { return cmp.Compare(a.Forget, b.Forget) })
+	slices.SortStableFunc(byExpiry, func(a, b Tombstone) int { return cmp.Compare(a.Expires, b.Expires) })
 	for _, tombstone := range byExpiry {
-		t.addTombstone(digest(tombstone.Digest), tombstone.Forget)
+		t.addTombstone(digest(tombstone.Digest), tombstone.Expires)
 	}
 }
