--- a/coord/quota/account.go
+++ b/coord/quota/account.go
@@ -8,78 +8,86 @@
 )
 
 const (
-	// rateWindow is the time over which the rate of arrivals is averaged.
+	// rateWindow is the period over which the arrival rate is averaged.
 	rateWindow = time.Second
-	// steadyRate is the requests a second from which on a holder leases a
-	// part of the rate. Below it, it borrows credit for each request: a
-	// leased rate would lie idle here while another entry needs it.
+	// steadyRate is the number of requests per second from which a holder
+	// leases a part of the rate. Below it, the holder borrows credit for each
+	// request: a leased rate would be idle here while another entry needs it.
 	steadyRate = 2.0
-	// idleRate is the requests a second below which a contract is forgotten.
+	// idleRate is the number of requests per second below which an account is
+	// considered idle and dropped.
 	idleRate = 0.05
-	// headroom is how much more than its measured rate a holder asks for.
+	// headroom is the factor over its measured rate that a holder asks for.
 	headroom = 1.25
-	// growth is how much more than its own rate a holder asks for when a request
-	// waits for that rate alone.
+	// growth is the factor over its own rate that a holder asks for when a
+	// request waits only for that rate.
 	growth = 4
-	// saveTime is how long a holder may save up its leased rate.
-	saveTime = 300 * time.Millisecond
-	// slotHeadroom is one spare slot for so many in use.
+	// leasedBurstTime is the period over which a holder accumulates unused
+	// leased rate.
+	leasedBurstTime = 300 * time.Millisecond
+	// slotHeadroom is the number of slots in use for each spare slot.
 	slotHeadroom = 4
-	// runTimeWeight is the weight of the newest run in the mean run time.
+	// runTimeWeight is the weight of the latest run in the mean run time.
 	runTimeWeight = 0.1
-	// runTimeSamples is how many runs the mean needs before it is believed.
+	// runTimeSamples is the number of runs after which the mean is used.
 	runTimeSamples = 8
 )
 
-// cost is what a request takes from the buckets.
+// cost is the amount that a request takes from each bucket.
 type cost [buckets]float64
 
-// waiting is a queued request.
-type waiting struct {
+// queuedRequest is a request that waits for admission.
+type queuedRequest struct {
 	id      RequestID
 	cost    cost
 	since   time.Time
 	removed bool
 }
 
-// account is a holder's part of one contract.
+// account is a holder's state for one contract.
 type account struct {
 	agreed contract.Contract
 	share  Share
-	// level is the content of the holder's buckets, in units; below 0 after
-	// a request used more than it was admitted for.
-	level    [buckets]float64
-	at       time.Time
-	inFlight int
-	queue    []*waiting
-	queued   cost
-	// rate is the average of offered units a second.
+	// level is the content of the holder's buckets in units. It is negative
+	// after a request used more than it was admitted for. accruedAt is when
+	// it was last brought up to date.
+	level     [buckets]float64
+	accruedAt time.Time
+	inFlight  int
+	queue     []*queuedRequest
+	queued    cost
+	// rate is the moving average of offered units per second, last updated at
+	// averagedAt.
 	rate cost
-	// offered counts units since rate was last averaged.
-	offered cost
-	rated   time.Time
-	// throttled is true for a bucket whose own refill a request had to wait
-	// for since the last renewal, although the owner was not short of it.
+	// offered counts the units offered since the last update of rate.
+	offered    cost
+	averagedAt time.Time
+	// throttled is true for a bucket if, since the last renewal, a request had
+	// to wait for the holder's own refill although the owner was not short.
 	throttled [buckets]bool
-	// demanded is the part of the rate that the last renewal asked for, and
-	// limited is true when the owner granted less: others use the rest.
+	// demanded is the fraction of the rate that the last renewal asked for.
+	// limited is true if the owner granted less because other holders use the
+	// rest.
 	demanded Credit
 	limited  [buckets]bool
-	// reported is what was last held in a renewal, told when it was sent;
-	// confirm is true when the owner counts more than the holder has.
-	reported Share
-	told     bool
-	confirm  bool
-	// ended is true when the last renewal said that the account is over.
-	ended bool
-	// short is what the last grant had too little of; asked is true when the
-	// newest renewal speaks of the current need.
+	// reported is the share in the last renewal that listed the account. sent
+	// is true from then on, until a renewal fails or the lease expires.
+	// mustConfirm is true while the owner counts more than the holder has.
+	reported    Share
+	sent        bool
+	mustConfirm bool
+	// reportedEmpty is true if the last renewal reported that the holder neither
+	// holds nor needs any part of the contract.
+	reportedEmpty bool
+	// short is the shortage of the last grant. asked is true if the latest
+	// renewal includes the current need.
 	short shortage
 	asked bool
-	// reserve is the owner's content of the buckets at the last grant.
+	// reserve is the content of the owner's buckets at the last grant.
 	reserve Credit
-	// returned is credit given up since the last renewal.
+	// returned is the credit given back since the last renewal.
 	returned Credit
+	// runTime is the mean run time of requests in seconds, over runs requests.
 	runTime  float64
 	runs     int
 	admitted uint32
@@ -87,12 +95,12 @@
 }
 
 func newAccount(agreed contract.Contract, now time.Time) *account {
-	return &account{agreed: agreed, at: now, rated: now}
+	return &account{agreed: agreed, accruedAt: now, averagedAt: now}
 }
 
-// follow takes a changed contract into account. The share is a fraction, so the
-// new limits are in force from now on.
-func (a *account) follow(agreed contract.Contract, now time.Time) {
+// updateContract applies a newer revision of the contract. The share is a
+// fraction, so the new limits take effect immediately.
+func (a *account) updateContract(agreed contract.Contract, now time.Time) {
 	if agreed.Revision <= a.agreed.Revision {
 		return
 	}
@@ -105,19 +113,19 @@
 	return a.share[b.burst()] * capacity(b, a.agreed.Limits)
 }
 
-// speed is the units a second that the holder's own share refills.
-func (a *account) speed(b bucket) float64 {
+// refillRate returns the units per second by which the holder's own share refills.
+func (a *account) refillRate(b bucket) float64 {
 	return a.share[b.rate()] * refill(b, a.agreed.Limits)
 }
 
 func (a *account) accrue(now time.Time) {
-	if !now.After(a.at) {
+	if !now.After(a.accruedAt) {
 		return
 	}
-	elapsed := now.Sub(a.at).Seconds()
-	a.at = now
+	elapsed := now.Sub(a.accruedAt).Seconds()
+	a.accruedAt = now
 	for b := range buckets {
-		a.level[b] += a.speed(b) * elapsed
+		a.level[b] += a.refillRate(b) * elapsed
 	}
 	a.clip()
 }
@@ -128,19 +136,19 @@
 	}
 }
 
-// expire drops the share when the lease has run out. Requests in flight go on.
+// expire drops the share at the end of the lease. Requests in flight continue.
 func (a *account) expire() {
 	a.share = Share{}
 	a.clip()
-	a.short, a.asked, a.told = 0, false, false
+	a.short, a.asked, a.sent = 0, false, false
 }
 
-// newsworthy reports that the owner should hear of the contract. An account
-// whose requests merely run has nothing to say.
-func (a *account) newsworthy(now time.Time) bool {
-	a.average(now)
+// needsRenewal reports whether the next renewal must list the contract. It need
+// not if the account only has requests running.
+func (a *account) needsRenewal(now time.Time) bool {
+	a.updateRate(now)
 	switch {
-	case !a.told || a.confirm || a.head() != nil || a.idle():
+	case !a.sent || a.mustConfirm || a.head() != nil || a.idle():
 		return true
 	case a.share[RequestRate] > 0 || a.share[TokenRate] > 0:
 		return true
@@ -151,7 +159,7 @@
 	return granted-wanted > granted/slotHeadroom
 }
 
-// wantedSlots is what the holder could use, with some to spare.
+// wantedSlots returns the number of slots that the holder could use, with headroom.
 func (a *account) wantedSlots() int {
 	return a.inFlight + a.waiting() + a.inFlight/slotHeadroom
 }
@@ -160,8 +168,9 @@
 	return int(math.Floor(a.share[Slots]*float64(a.agreed.Limits.Concurrency) + 1e-6))
 }
 
-// clauseFor returns the clause that keeps a request of that cost from starting now.
-func (a *account) clauseFor(c cost) (clause int, blocked bool) {
+// blockingClause returns the clause that prevents a request of the given cost from
+// starting now, if any.
+func (a *account) blockingClause(c cost) (clause int, blocked bool) {
 	if a.inFlight >= a.slots() {
 		return slotClause, true
 	}
@@ -181,15 +190,15 @@
 	}
 }
 
-// giveBack returns what an admitted request did not use.
-func (a *account) giveBack(c cost) {
+// refund puts back what an admitted request did not use.
+func (a *account) refund(c cost) {
 	for b := range buckets {
 		a.level[b] += c[b]
 	}
 	a.clip()
 }
 
-func (a *account) enqueue(w *waiting) {
+func (a *account) enqueue(w *queuedRequest) {
 	a.queue = append(a.queue, w)
 	for b := range buckets {
 		a.queued[b] += w.cost[b]
@@ -197,9 +206,9 @@
 	a.asked = false
 }
 
-// noteThrottle remembers which buckets' own refill holds the first request up.
-// Callers that wait for their answers send no faster than they are served, so
-// their measured rate never shows that they could use more.
+// noteThrottle marks the buckets whose own refill delays the first queued request.
+// Callers that wait for each answer before the next request send no faster than
+// they are served, so their measured rate never shows that they could use more.
 func (a *account) noteThrottle() {
 	first := a.head()
 	if first == nil {
@@ -214,16 +223,17 @@
 	}
 }
 
-// unqueue takes a request's cost out of the queue's sum.
-func (a *account) unqueue(w *waiting) {
+// dequeue marks a request as removed and subtracts its cost from the queue's total.
+func (a *account) dequeue(w *queuedRequest) {
 	w.removed = true
 	for b := range buckets {
 		a.queued[b] -= w.cost[b]
 	}
 }
 
-// head drops removed requests and returns the first that waits.
-func (a *account) head() *waiting {
+// head drops removed requests from the front and returns the first queued one,
+// or nil.
+func (a *account) head() *queuedRequest {
 	for len(a.queue) > 0 && a.queue[0].removed {
 		a.queue[0] = nil
 		a.queue = a.queue[1:]
@@ -242,9 +252,9 @@
 	}
 }
 
-// average brings the rate of arrivals up to date.
-func (a *account) average(now time.Time) {
-	elapsed := now.Sub(a.rated).Seconds()
+// updateRate updates the moving average of the arrival rate.
+func (a *account) updateRate(now time.Time) {
+	elapsed := now.Sub(a.averagedAt).Seconds()
 	if elapsed <= 0 && a.offered == (cost{}) {
 		return
 	}
@@ -253,10 +263,10 @@
 		a.rate[b] = a.rate[b]*decay + a.offered[b]/rateWindow.Seconds()
 	}
 	a.offered = cost{}
-	a.rated = now
+	a.averagedAt = now
 }
 
-func (a *account) finished(run time.Duration) {
+func (a *account) recordRun(run time.Duration) {
 	a.runs++
 	if a.runs == 1 {
 		a.runTime = run.Seconds()
@@ -265,17 +275,17 @@
 	a.runTime += (run.Seconds() - a.runTime) * runTimeWeight
 }
 
-// predict estimates how long a new request waits for each clause, and returns
-// the clause with the longest wait. It assumes the best that is still possible:
-// the whole contract's rate, unless the owner has just said that there is no more.
+// predict estimates how long a new request would wait for each clause, and returns
+// the longest wait and its clause. The estimate is a lower bound: it assumes the
+// whole contract's rate unless the owner's last grant reported a shortage.
 func (a *account) predict(c cost) (wait time.Duration, clause int) {
 	longest, clause := 0.0, slotClause
 	for b := range buckets {
 		speed := refill(b, a.agreed.Limits)
-		if own := a.speed(b); a.short.has(int(b)) && own > 0 {
+		if own := a.refillRate(b); a.short.has(int(b)) && own > 0 {
 			speed = own
 		}
-		missing := a.queued[b] + c[b] - max(a.level[b], a.optimistic(b))
+		missing := a.queued[b] + c[b] - max(a.level[b], a.assumedLevel(b))
 		if wait := missing / speed; c[b] > 0 && wait > longest {
 			longest, clause = wait, int(b)
 		}
@@ -289,9 +299,9 @@
 	return seconds(longest), clause
 }
 
-// optimistic is the content that the whole bucket may have: nothing is known
-// against it until the owner has said that it is short.
-func (a *account) optimistic(b bucket) float64 {
+// assumedLevel returns the most that the whole contract's bucket may contain: its
+// capacity, unless the owner has reported a shortage along with its reserve.
+func (a *account) assumedLevel(b bucket) float64 {
 	if a.short.has(int(b)) {
 		return a.reserve[b] * capacity(b, a.agreed.Limits)
 	}
@@ -310,19 +320,19 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// idle reports that the holder has no use for a share.
+// idle reports whether the holder has no use for a share.
 func (a *account) idle() bool {
 	return a.inFlight == 0 && a.head() == nil && a.rate[requestBucket] < idleRate
 }
 
-// holding writes down what the holder has and needs, after it has given up
-// what it has no use for.
+// holding reports what the holder has and needs, after giving up what it does
+// not use.
 func (a *account) holding(now time.Time) Holding {
 	a.accrue(now)
-	a.average(now)
+	a.updateRate(now)
 	if a.idle() {
 		a.share = Share{}
-		a.giveUp()
+		a.returnAll()
 	}
 	h := Holding{Contract: a.agreed.ID}
 	a.describeSlots(&h)
@@ -333,8 +343,8 @@
 	h.Admitted, h.Refused = a.admitted, a.refused
 	a.admitted, a.refused = 0, [clauses]uint32{}
 	a.throttled = [buckets]bool{}
-	a.asked, a.told, a.confirm = true, true, false
-	a.reported, a.ended = h.Held, h.over()
+	a.asked, a.sent, a.mustConfirm = true, true, false
+	a.reported, a.reportedEmpty = h.Held, h.empty()
 	return h
 }
 
@@ -355,7 +365,7 @@
 	wanted := min(a.queued[b], whole)
 	room := 0.0
 	if a.share[b.rate()] > 0 && a.rate[requestBucket] > 0 {
-		room = a.speed(b)*saveTime.Seconds() + mean
+		room = a.refillRate(b)*leasedBurstTime.Seconds() + mean
 	}
 	a.trim(b, min(whole, wanted+room), room)
 	h.Held[b.rate()] = a.share[b.rate()]
@@ -372,21 +382,21 @@
 	}
 }
 
-// rateDemand is the part of the contract's rate that the holder can use.
+// rateDemand returns the fraction of the contract's rate that the holder can use.
 func (a *account) rateDemand(b bucket) float64 {
 	offered := headroom * a.rate[b]
 	if a.throttled[b] {
-		offered = max(offered, growth*a.speed(b))
+		offered = max(offered, growth*a.refillRate(b))
 	}
 	if a.share[b.rate()] == 0 {
-		// A large request waits long after its arrival has left the average,
-		// and others would lease all of the rate that is to serve it.
+		// A large request still waits when its arrival has decayed from the
+		// average, and other holders would lease the whole rate meanwhile.
 		offered = max(offered, a.queued[b]/rateWindow.Seconds())
 	}
 	return min(1, offered/refill(b, a.agreed.Limits))
 }
 
-// meanCost is what a request takes from a bucket on average.
+// meanCost returns what a request takes from a bucket on average.
 func (a *account) meanCost(b bucket) float64 {
 	if a.rate[requestBucket] <= 0 {
 		return 0
@@ -394,14 +404,15 @@
 	return a.rate[b] / a.rate[requestBucket]
 }
 
-// giveUp returns all content of the buckets.
-func (a *account) giveUp() {
+// returnAll gives back the whole content of the buckets.
+func (a *account) returnAll() {
 	for b := range buckets {
 		a.trim(b, 0, 0)
 	}
 }
 
-// trim gives up content beyond what is kept and capacity beyond that and room.
+// trim gives back content beyond keep, and reduces the capacity to the remaining
+// content plus room.
 func (a *account) trim(b bucket, keep, room float64) {
 	whole := capacity(b, a.agreed.Limits)
 	if excess := a.level[b] - keep; excess > 0 {
@@ -412,13 +423,13 @@
 	a.clip()
 }
 
-// apply takes a grant into account.
+// apply applies a grant.
 func (a *account) apply(g Grant, now time.Time) {
 	a.accrue(now)
 	a.share = g.Share
 	a.short = g.Short
 	for m := range measures {
-		a.confirm = a.confirm || g.Share[m] < a.reported[m]
+		a.mustConfirm = a.mustConfirm || g.Share[m] < a.reported[m]
 	}
 	a.reserve = g.Reserve
 	for b := range buckets {
--- a/coord/quota/bench_test.go
+++ b/coord/quota/bench_test.go
@@ -11,9 +11,9 @@
 	"github.com/rosemarypass/rosemarypass/coord/internal/liveheap"
 )
 
-// BenchmarkSize runs a steady load on all entries alike, within the contracts,
-// and reports what the messages, the owner and an entry cost. Requests run 8 s,
-// as 280 tokens at 29 ms do.
+// BenchmarkSize runs a steady load, spread evenly over all entries and within the
+// contracts, and reports the cost of messages, the owner and an entry. Requests run
+// 8 s, as 280 tokens at 29 ms do.
 func BenchmarkSize(b *testing.B) {
 	cases := []struct {
 		entries, contracts int
@@ -28,7 +28,7 @@
 			for i := range agreed {
 				// Each contract allows 4 times its mean load.
 				each := 4 * c.rate / float64(c.contracts)
-				agreed[i] = agreement(fmt.Sprintf("customer-%05d", i), max(1, each), int64(60*500*max(1, each)), int(max(8, 40*each)))
+				agreed[i] = testContract(fmt.Sprintf("customer-%05d", i), max(1, each), int64(60*500*max(1, each)), int(max(8, 40*each)))
 			}
 			const seconds = 15
 			for b.Loop() {
@@ -61,9 +61,9 @@
 	return sorted[int(p*float64(len(sorted)-1))]
 }
 
-// BenchmarkBalance reports the use of one contract under twice its load, beside
-// the naive ways: one bucket for all entries, which needs a message for each
-// request, and an even split.
+// BenchmarkBalance reports the use of one contract under twice its load, compared
+// with two simple alternatives: one bucket for all entries, which needs a message
+// per request, and an even split.
 func BenchmarkBalance(b *testing.B) {
 	cases := []struct {
 		name    string
@@ -78,13 +78,13 @@
 	}
 	for _, c := range cases {
 		b.Run(c.name, func(b *testing.B) {
-			agreed := agreement("a", 50, 1<<40, 1000)
+			agreed := testContract("a", 50, 1<<40, 1000)
 			const seconds = 60
 			for b.Loop() {
 				sim := simulate(scenario{entries: c.entries, agreed: []contract.Contract{agreed}, weights: c.weights, rate: 100, tokens: 10, run: 50 * time.Millisecond, seconds: seconds})
 				allowed := ideal(agreed.Limits, 10, seconds)
 				b.ReportMetric(100*float64(sim.admitted)/allowed, "%use")
-				b.ReportMetric(100*split(sim, agreed.Limits, seconds)/allowed, "%use-even-split")
+				b.ReportMetric(100*evenSplit(sim, agreed.Limits, seconds)/allowed, "%use-even-split")
 				b.ReportMetric(float64(sim.messages)/seconds, "messages/s")
 				b.ReportMetric(float64(sim.offered)/seconds, "messages/s-one-bucket")
 			}
@@ -92,8 +92,9 @@
 	}
 }
 
-// split is what an even split of the contract would admit.
-func split(sim *simulation, limits contract.Limits, seconds int) (admitted float64) {
+// evenSplit returns the number of requests that an even split of the contract would
+// admit.
+func evenSplit(sim *simulation, limits contract.Limits, seconds int) (admitted float64) {
 	part := (capacity(requestBucket, limits) + refill(requestBucket, limits)*float64(seconds)) / float64(sim.entries)
 	for _, offered := range sim.offeredTo {
 		admitted += min(part, float64(offered))
@@ -101,13 +102,13 @@
 	return admitted
 }
 
-// BenchmarkAdmit is what one request costs its entry while its contract has a
-// share there.
+// BenchmarkAdmit measures the cost of one request at an entry that has a share of the
+// contract.
 func BenchmarkAdmit(b *testing.B) {
 	for _, contracts := range []int{1, 100, 3000} {
 		b.Run(fmt.Sprintf("contracts=%d", contracts), func(b *testing.B) {
 			now := time.Unix(1_000_000, 0)
-			h, agreed := usedHolder(now, contracts)
+			h, agreed := newBusyHolder(now, contracts)
 			id := RequestID(1 << 32)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -121,7 +122,7 @@
 	}
 }
 
-// BenchmarkContractMemory is what a contract in use takes at an entry and at
+// BenchmarkContractMemory measures the memory of a contract in use at an entry and at
 // the owner, by the number of entries that use it.
 func BenchmarkContractMemory(b *testing.B) {
 	const contracts = 2000
@@ -133,7 +134,7 @@
 				holders := make([]*Holder, entries)
 				var agreed []contract.Contract
 				for i := range holders {
-					holders[i], agreed = usedHolder(now, contracts)
+					holders[i], agreed = newBusyHolder(now, contracts)
 				}
 				held := liveheap.Bytes()
 				owner := NewOwner(DefaultOptions(), Tenure{Epoch: 1, Began: now.Add(-time.Hour)}, lookup(agreed))
@@ -162,13 +163,14 @@
 	}
 }
 
-// usedHolder has a share and one running request of each contract.
-func usedHolder(now time.Time, contracts int) (*Holder, []contract.Contract) {
+// newBusyHolder returns a holder with a share and one running request of each
+// contract.
+func newBusyHolder(now time.Time, contracts int) (*Holder, []contract.Contract) {
 	h := NewHolder(DefaultOptions(), "entry", 1)
 	agreed := make([]contract.Contract, contracts)
 	grants := make([]Grant, contracts)
 	for i := range agreed {
-		agreed[i] = agreement(fmt.Sprintf("customer-%05d", i), 1000, 1<<40, 1000)
+		agreed[i] = testContract(fmt.Sprintf("customer-%05d", i), 1000, 1<<40, 1000)
 		h.Ask(now, Request{ID: RequestID(i), Contract: agreed[i], Tokens: 500})
 		grants[i] = Grant{Contract: agreed[i].ID, Share: Share{0.1, 0.1, 0.1, 0.1, 0.1}, Credit: Credit{0.1, 0.1}}
 	}
--- a/coord/quota/example_test.go
+++ b/coord/quota/example_test.go
@@ -8,8 +8,8 @@
 	"github.com/rosemarypass/rosemarypass/coord/quota"
 )
 
-// One owner and one holder, joined by whatever carries their messages. Time
-// enters with each call; the package has no clock of its own.
+// One owner and one holder exchange messages over any transport. Each call takes
+// the current time, because the package has no clock of its own.
 func Example() {
 	now := time.Unix(1_000_000, 0)
 	agreed := contract.Contract{ID: "dabke", Revision: 1, Limits: contract.Limits{
--- a/coord/quota/holder.go
+++ b/coord/quota/holder.go
@@ -8,87 +8,90 @@
 	"github.com/rosemarypass/rosemarypass/coord/contract"
 )
 
-// RequestID names a request at one holder.
+// RequestID identifies a request within one holder.
 type RequestID uint64
 
-// Request asks to run under a contract.
+// Request is a request to be admitted under a contract.
 type Request struct {
 	ID       RequestID
 	Contract contract.Contract
-	// Tokens is the most that it is expected to use; 0 for a call that uses none.
+	// Tokens is the most that the request is expected to use, or 0 if it uses none.
 	Tokens int64
 }
 
-// Use is what an admitted request turned out to use.
+// Use is what an admitted request actually used.
 type Use struct {
-	// NotRun is true when the request certainly did not run.
+	// NotRun is true if the request certainly did not run.
 	NotRun bool
-	// Tokens replaces the estimate; below 0 it stands.
+	// Tokens replaces the estimate. A negative value leaves the estimate in place.
 	Tokens int64
 }
 
-// Action is what the holder decides: Admit or Refuse.
+// Action is a decision of the holder: Admit or Refuse.
 type Action interface{ isAction() }
 
-// Admit lets a request run; Settle must follow.
+// Admit lets a request run. The caller must call Settle when it has ended.
 type Admit struct {
 	ID RequestID
 	// Waited is how long the request was queued.
 	Waited time.Duration
 }
 
-// Refuse ends a request that was not admitted.
+// Refuse rejects a request that was not admitted.
 type Refuse struct {
 	ID     RequestID
 	Clause contract.Clause
 	Cause  Cause
-	// RetryAfter is when a new attempt can succeed.
+	// RetryAfter is the time after which a retry can succeed.
 	RetryAfter time.Duration
 }
 
 func (Admit) isAction()  {}
 func (Refuse) isAction() {}
 
-// Cause says why a clause refused.
+// Cause is the reason for a refusal.
 type Cause int
 
 const (
-	// CauseWaited means that the longest wait is over.
+	// CauseWaited means that the request has waited for the contract's maximum
+	// wait.
 	CauseWaited Cause = iota
-	// CauseCertain means that the wait would certainly pass the longest wait.
+	// CauseCertain means that the wait would certainly exceed the contract's
+	// maximum wait.
 	CauseCertain
-	// CauseNever means that the request asks for more than the whole contract.
+	// CauseNever means that the request needs more than the whole contract allows.
 	CauseNever
-	// CauseNoLease means that no owner has been reached for a lease: the
-	// contract's own limit may not have been reached.
+	// CauseNoLease means that no owner has been reached for the time of a
+	// lease. The contract's own limit may not have been reached.
 	CauseNoLease
 	// CauseRetired means that the contract was retired while the request waited.
 	CauseRetired
-	// CauseQueueFull means that the queue of waiting requests is full.
+	// CauseQueueFull means that the contract's queue at this holder is full.
 	CauseQueueFull
 )
 
 // Holder admits the requests of one entry within its leased shares. It is not
-// safe for concurrent use: one duty owns it.
+// safe for concurrent use: a single duty uses it.
 type Holder struct {
 	options     Options
 	name        string
 	incarnation uint64
 	number      uint64
-	// pending is the number of the renewal that is under way, 0 for none.
+	// pending is the number of the renewal in flight, or 0.
 	pending uint64
 	sent    time.Time
 	epoch   uint64
 	expires time.Time
-	// heard is when the newest accepted renewal was sent.
-	heard time.Time
-	// full is true when the owner may not know what the holder has.
+	// renewedAt is when the latest accepted renewal was sent.
+	renewedAt time.Time
+	// full is true if the next renewal must be full, because the owner may not
+	// know what the holder has.
 	full     bool
 	accounts map[string]*account
-	// waiting are the accounts with a queue.
+	// waiting are the accounts with queued requests.
 	waiting  map[*account]struct{}
 	admitted map[RequestID]running
-	queued   map[RequestID]*waiting
+	queued   map[RequestID]*queuedRequest
 }
 
 // running is an admitted request.
@@ -98,8 +101,8 @@
 	since   time.Time
 }
 
-// NewHolder returns a holder without shares. The incarnation grows with every
-// restart of the process.
+// NewHolder returns a holder without shares. The incarnation must increase with
+// every restart of the process.
 func NewHolder(options Options, name string, incarnation uint64) *Holder {
 	return &Holder{
 		options:     options,
@@ -109,7 +112,7 @@
 		accounts:    make(map[string]*account),
 		waiting:     make(map[*account]struct{}),
 		admitted:    make(map[RequestID]running),
-		queued:      make(map[RequestID]*waiting),
+		queued:      make(map[RequestID]*queuedRequest),
 	}
 }
 
@@ -121,14 +124,14 @@
 	c := cost{1, float64(r.Tokens)}
 	a.offer(c)
 	if a.head() == nil {
-		if _, blocked := a.clauseFor(c); !blocked {
-			return []Action{h.admit(now, a, &waiting{id: r.ID, cost: c, since: now})}
+		if _, blocked := a.blockingClause(c); !blocked {
+			return []Action{h.admit(now, a, &queuedRequest{id: r.ID, cost: c, since: now})}
 		}
 	}
-	if refusal, certain := h.refuseNow(now, a, r, c); certain {
+	if refusal, certain := h.refuseEarly(now, a, r, c); certain {
 		return []Action{refusal}
 	}
-	w := &waiting{id: r.ID, cost: c, since: now}
+	w := &queuedRequest{id: r.ID, cost: c, since: now}
 	a.enqueue(w)
 	a.noteThrottle()
 	h.queued[r.ID] = w
@@ -142,19 +145,19 @@
 		a = newAccount(agreed, now)
 		h.accounts[agreed.ID] = a
 	}
-	a.follow(agreed, now)
+	a.updateContract(agreed, now)
 	return a
 }
 
-func (h *Holder) admit(now time.Time, a *account, w *waiting) Action {
+func (h *Holder) admit(now time.Time, a *account, w *queuedRequest) Action {
 	a.take(w.cost)
 	h.admitted[w.id] = running{account: a, cost: w.cost, since: now}
 	return Admit{ID: w.id, Waited: now.Sub(w.since)}
 }
 
-// refuseNow refuses a request whose wait would pass the bound, so that its
-// caller does not wait in vain.
-func (h *Holder) refuseNow(now time.Time, a *account, r Request, c cost) (Refuse, bool) {
+// refuseEarly refuses a request whose wait would exceed the contract's maximum, so
+// that its caller does not wait in vain.
+func (h *Holder) refuseEarly(now time.Time, a *account, r Request, c cost) (Refuse, bool) {
 	limits := a.agreed.Limits
 	if c[tokenBucket] > capacity(tokenBucket, limits) {
 		a.refused[tokenClause]++
@@ -163,16 +166,16 @@
 	wait, clause := a.predict(c)
 	if excess := wait - limits.MaxWait; excess > 0 {
 		a.refused[clause]++
-		return Refuse{ID: r.ID, Clause: clauseNames[clause], Cause: h.blame(now, CauseCertain), RetryAfter: excess}, true
+		return Refuse{ID: r.ID, Clause: clauseNames[clause], Cause: h.refusalCause(now, CauseCertain), RetryAfter: excess}, true
 	}
 	if len(a.queue) >= h.options.QueueLimit {
 		a.refused[clause]++
-		return Refuse{ID: r.ID, Clause: clauseNames[clause], Cause: h.blame(now, CauseQueueFull), RetryAfter: max(wait, time.Second)}, true
+		return Refuse{ID: r.ID, Clause: clauseNames[clause], Cause: h.refusalCause(now, CauseQueueFull), RetryAfter: max(wait, time.Second)}, true
 	}
 	return Refuse{}, false
 }
 
-// Settle ends an admitted request.
+// Settle ends an admitted request and admits queued requests in its place.
 func (h *Holder) Settle(now time.Time, id RequestID, use Use) []Action {
 	h.expire(now)
 	r, ok := h.admitted[id]
@@ -185,16 +188,16 @@
 	a.inFlight--
 	switch {
 	case use.NotRun:
-		a.giveBack(r.cost)
+		a.refund(r.cost)
 	case use.Tokens >= 0:
-		a.giveBack(cost{0, r.cost[tokenBucket] - float64(use.Tokens)})
+		a.refund(cost{0, r.cost[tokenBucket] - float64(use.Tokens)})
 	}
-	a.finished(now.Sub(r.since))
-	return h.pump(now, a, nil)
+	a.recordRun(now.Sub(r.since))
+	return h.drain(now, a, nil)
 }
 
-// Cancel ends a request whose caller left before it saw an answer. The request
-// may have been admitted in the same moment; its slot must not stay taken.
+// Cancel ends a request whose caller left before it got an answer. If the request
+// was admitted at the same time, its slot is freed.
 func (h *Holder) Cancel(now time.Time, contractID string, id RequestID) []Action {
 	w, ok := h.queued[id]
 	if !ok {
@@ -202,52 +205,54 @@
 	}
 	delete(h.queued, id)
 	a := h.accounts[contractID]
-	a.unqueue(w)
-	return h.pump(now, a, nil)
+	a.dequeue(w)
+	return h.drain(now, a, nil)
 }
 
-// Follow takes a changed contract into account, if it is in use here. The
-// waiting requests of a retired contract are refused; those in flight go on.
+// Follow applies a changed contract if it is in use here. If the contract is
+// retired, queued requests are refused and requests in flight continue.
 func (h *Holder) Follow(now time.Time, agreed contract.Contract) []Action {
 	h.expire(now)
 	a, ok := h.accounts[agreed.ID]
 	if !ok || agreed.Revision <= a.agreed.Revision {
 		return nil
 	}
-	a.follow(agreed, now)
+	a.updateContract(agreed, now)
 	if !agreed.Retired {
-		return h.pump(now, a, nil)
+		return h.drain(now, a, nil)
 	}
 	var actions []Action
 	for w := a.head(); w != nil; w = a.head() {
 		actions = append(actions, Refuse{ID: w.id, Cause: CauseRetired})
-		a.unqueue(w)
+		a.dequeue(w)
 		delete(h.queued, w.id)
 	}
 	delete(h.waiting, a)
 	return actions
 }
 
-// Contracts returns the identifiers of the contracts in use here, in no order.
+// Contracts returns the identifiers of the contracts in use here, in no
+// particular order.
 func (h *Holder) Contracts() []string {
 	return slices.Collect(maps.Keys(h.accounts))
 }
 
-// Tick admits what has become due and refuses what has waited too long.
+// Tick admits queued requests that can now run and refuses those that have waited
+// too long.
 func (h *Holder) Tick(now time.Time) []Action {
 	h.expire(now)
 	var actions []Action
 	for a := range h.waiting {
 		a.accrue(now)
-		actions = h.pump(now, a, actions)
+		actions = h.drain(now, a, actions)
 	}
 	return actions
 }
 
-// pump works through an account's queue, in order.
-func (h *Holder) pump(now time.Time, a *account, actions []Action) []Action {
+// drain processes an account's queue in order until a request must keep waiting.
+func (h *Holder) drain(now time.Time, a *account, actions []Action) []Action {
 	for w := a.head(); w != nil; w = a.head() {
-		clause, blocked := a.clauseFor(w.cost)
+		clause, blocked := a.blockingClause(w.cost)
 		switch {
 		case !blocked:
 			actions = append(actions, h.admit(now, a, w))
@@ -256,28 +261,29 @@
 		default:
 			return actions
 		}
-		a.unqueue(w)
+		a.dequeue(w)
 		delete(h.queued, w.id)
 	}
 	delete(h.waiting, a)
 	return actions
 }
 
-func (h *Holder) refuseWaited(now time.Time, a *account, w *waiting, clause int) Refuse {
+func (h *Holder) refuseWaited(now time.Time, a *account, w *queuedRequest, clause int) Refuse {
 	a.refused[clause]++
-	return Refuse{ID: w.id, Clause: clauseNames[clause], Cause: h.blame(now, CauseWaited), RetryAfter: a.retryAfter(clause)}
+	return Refuse{ID: w.id, Clause: clauseNames[clause], Cause: h.refusalCause(now, CauseWaited), RetryAfter: a.retryAfter(clause)}
 }
 
-// blame returns the cause, unless there has been no owner for a lease: credit
-// that the contract still has cannot be lent then, so no clause is to blame.
-func (h *Holder) blame(now time.Time, cause Cause) Cause {
-	if h.heard.IsZero() || !now.Before(h.heard.Add(h.options.Lease)) {
+// refusalCause returns cause, or CauseNoLease if no owner has answered for the time
+// of a lease: credit that the contract still has cannot be lent then, so the
+// clause may not be exhausted.
+func (h *Holder) refusalCause(now time.Time, cause Cause) Cause {
+	if h.renewedAt.IsZero() || !now.Before(h.renewedAt.Add(h.options.Lease)) {
 		return CauseNoLease
 	}
 	return cause
 }
 
-// retryAfter is when the queue that is left will have been served.
+// retryAfter returns the time in which the remaining queue will be served.
 func (a *account) retryAfter(clause int) time.Duration {
 	if clause == slotClause {
 		return max(time.Second, seconds(a.runTime))
@@ -286,7 +292,8 @@
 	return max(time.Second, seconds(a.queued[b]/refill(b, a.agreed.Limits)))
 }
 
-// NextTick is when Tick has something to do, false when nothing waits.
+// NextTick returns the time at which Tick must be called next, and false if no
+// request is queued.
 func (h *Holder) NextTick(now time.Time) (time.Time, bool) {
 	var next time.Time
 	for a := range h.waiting {
@@ -305,7 +312,8 @@
 	return next, !next.IsZero()
 }
 
-// readyAt is when the holder's own refill lets a request start.
+// readyAt returns the time at which the holder's own refill lets a request start,
+// and false if it alone does not.
 func (a *account) readyAt(now time.Time, c cost) (time.Time, bool) {
 	if a.inFlight >= a.slots() {
 		return time.Time{}, false
@@ -316,16 +324,16 @@
 		if c[b] <= 0 || missing <= 0 {
 			continue
 		}
-		if a.speed(b) <= 0 || a.capacity(b) < c[b]-epsilon*capacity(b, a.agreed.Limits) {
+		if a.refillRate(b) <= 0 || a.capacity(b) < c[b]-epsilon*capacity(b, a.agreed.Limits) {
 			return time.Time{}, false
 		}
-		longest = max(longest, missing/a.speed(b))
+		longest = max(longest, missing/a.refillRate(b))
 	}
 	return now.Add(seconds(longest) + time.Microsecond), true
 }
 
-// Urgent reports that a waiting request can be helped by a renewal now rather
-// than at the next interval.
+// Urgent reports whether a queued request benefits from a renewal now rather than
+// at the next interval.
 func (h *Holder) Urgent(now time.Time) bool {
 	if h.pending != 0 {
 		return false
@@ -335,7 +343,7 @@
 		if w == nil || a.asked {
 			continue
 		}
-		if clause, blocked := a.clauseFor(w.cost); !blocked || a.short.has(clause) {
+		if clause, blocked := a.blockingClause(w.cost); !blocked || a.short.has(clause) {
 			continue
 		}
 		ready, ok := a.readyAt(now, w.cost)
@@ -349,19 +357,19 @@
 	return false
 }
 
-// urgentWait is how long a request waits for its own share's refill before a
+// urgentWait is the wait for the holder's own refill beyond which an immediate
 // renewal is worth its message.
 const urgentWait = 20 * time.Millisecond
 
-// growthInterval is the least time between two renewals that only ask for a
-// larger rate: one for each short wait would be one for each request.
+// growthInterval is the minimum time between two renewals that only ask for a
+// higher rate. Without it, short waits would cause one renewal per request.
 const growthInterval = 100 * time.Millisecond
 
-// Renewing reports whether a renewal is under way.
+// Renewing reports whether a renewal is in flight.
 func (h *Holder) Renewing() bool { return h.pending != 0 }
 
-// Short reports whether a request waits although the owner has been asked: the
-// next renewal should come sooner than at the regular interval.
+// Short reports whether a request is still queued although the owner has been
+// asked, so that the next renewal should be sent before the regular interval ends.
 func (h *Holder) Short() bool {
 	for a := range h.waiting {
 		if a.asked {
@@ -374,12 +382,12 @@
 // Leased reports whether the holder has a lease.
 func (h *Holder) Leased(now time.Time) bool { return now.Before(h.expires) }
 
-// InUse is the number of contracts with anything to renew.
+// InUse returns the number of contracts with state at this holder.
 func (h *Holder) InUse() int { return len(h.accounts) }
 
-// Renewal returns the next message to the owner. The reply to any earlier one
-// is ignored from now on. With all, it speaks of everything that is new, else
-// only of contracts with a request that waits for the answer.
+// Renewal returns the next message to the owner. Replies to earlier ones are
+// ignored from then on. If all is true, it lists every contract with changes,
+// otherwise only those with queued requests that the owner has not been asked for.
 func (h *Holder) Renewal(now time.Time, all bool) Renewal {
 	h.expire(now)
 	h.number++
@@ -394,14 +402,14 @@
 		return r
 	}
 	for _, a := range h.accounts {
-		if h.full || a.newsworthy(now) {
+		if h.full || a.needsRenewal(now) {
 			r.Holdings = append(r.Holdings, a.holding(now))
 		}
 	}
 	return r
 }
 
-// Reply takes the owner's answer into account.
+// Reply processes the owner's reply.
 func (h *Holder) Reply(now time.Time, reply Reply) []Action {
 	h.expire(now)
 	if h.pending == 0 || reply.Incarnation != h.incarnation || reply.Number != h.pending {
@@ -410,15 +418,15 @@
 	h.pending = 0
 	if !reply.Accepted || reply.Epoch < h.epoch {
 		h.full = h.full || reply.Full
-		h.askAgain()
+		h.markUnsent()
 		return nil
 	}
 	h.epoch = reply.Epoch
 	h.full = false
-	h.heard, h.expires = h.sent, h.sent.Add(h.options.Lease)
-	// The answer may have taken longer than the lease.
+	h.renewedAt, h.expires = h.sent, h.sent.Add(h.options.Lease)
+	// The reply may have taken longer than the lease.
 	if !now.Before(h.expires) {
-		h.askAgain()
+		h.markUnsent()
 		h.expire(now)
 		return nil
 	}
@@ -426,30 +434,31 @@
 	for _, grant := range reply.Grants {
 		if a, ok := h.accounts[grant.Contract]; ok {
 			a.apply(grant, now)
-			actions = h.pump(now, a, actions)
+			actions = h.drain(now, a, actions)
 		}
 	}
-	h.forgetIdle()
+	h.dropIdle()
 	return actions
 }
 
-// Lost gives up the renewal that is under way: its answer did not come.
+// Lost reports that the renewal in flight got no reply.
 func (h *Holder) Lost() {
 	h.pending = 0
-	h.askAgain()
+	h.markUnsent()
 }
 
-// askAgain forgets what was told in a renewal whose answer did not come.
-func (h *Holder) askAgain() {
+// markUnsent discards what was reported in a renewal that got no usable reply, so
+// that the next renewal reports it again.
+func (h *Holder) markUnsent() {
 	for _, a := range h.accounts {
-		a.asked, a.told = false, false
+		a.asked, a.sent = false, false
 	}
 }
 
-// Extend prolongs the lease without an owner. It is safe only until a time
-// before which no new owner can grant anything, as it is while too few control
-// instances run to elect one. A lease that has run out stays so: what it held
-// may have been leased to others since.
+// Extend extends the lease without an owner. It is safe only until a time before
+// which no new owner can grant anything, such as while too few control instances
+// run to elect one. An expired lease stays expired, because its shares may have
+// been leased to others since.
 func (h *Holder) Extend(now, until time.Time) {
 	h.expire(now)
 	if !h.expires.IsZero() && until.After(h.expires) {
@@ -457,18 +466,18 @@
 	}
 }
 
-// forgetIdle drops accounts of which the owner has been told that they are over.
-// Dropped earlier, what the owner counts would stay taken until the next full
-// renewal.
-func (h *Holder) forgetIdle() {
+// dropIdle drops idle accounts that have been reported to the owner as empty. If
+// they were dropped earlier, the owner would count their shares as held until the
+// next full renewal.
+func (h *Holder) dropIdle() {
 	for id, a := range h.accounts {
-		if a.ended && a.told && a.idle() && a.share == (Share{}) {
+		if a.reportedEmpty && a.sent && a.idle() && a.share == (Share{}) {
 			delete(h.accounts, id)
 		}
 	}
 }
 
-// expire drops every share when the lease has run out.
+// expire drops every share if the lease has expired.
 func (h *Holder) expire(now time.Time) {
 	if h.expires.IsZero() || now.Before(h.expires) {
 		return
@@ -481,8 +490,8 @@
 	}
 }
 
-// Release gives up every share and returns the last renewal, for a planned
-// stop after the last request has ended.
+// Release gives up every share and returns the final renewal. It is for a planned
+// stop, after the last request has ended.
 func (h *Holder) Release(now time.Time) Renewal {
 	h.expire(now)
 	h.number++
--- a/coord/quota/ledger.go
+++ b/coord/quota/ledger.go
@@ -7,77 +7,80 @@
 	"github.com/rosemarypass/rosemarypass/coord/contract"
 )
 
-// everything is the shortage of a holder that gets nothing.
-const everything shortage = 1<<clauses - 1
+// allClauses is the shortage of a holder that gets nothing.
+const allClauses shortage = 1<<clauses - 1
 
 const (
-	// keepRate is the part of steadyRate below which a leased rate ends.
+	// keepRate is the fraction of steadyRate below which a lease on a rate is
+	// not renewed.
 	keepRate = 0.4
-	// keepShare is how much of a leased rate must be in demand to keep it.
+	// keepShare is the fraction of a leased rate above which the demand must
+	// stay for the whole rate to be kept.
 	keepShare = 0.8
-	// roomShare is the part of a bucket that may be out when a rate is
-	// leased, roomShareKept when it is renewed.
-	roomShare     = 0.5
-	roomShareKept = 0.85
+	// maxOutNew is the fraction of a bucket's capacity that holders may have
+	// for a new lease on a rate, maxOutRenewed that for a renewal.
+	maxOutNew     = 0.5
+	maxOutRenewed = 0.85
 )
 
-// ledger divides one contract.
+// ledger records how one contract is divided among its holders.
 type ledger struct {
-	limits contract.Limits
-	lines  map[holderKey]*line
-	// reserve is the unleased content of the buckets, at is when it was
-	// last brought up to date. Nothing accrues before opens.
-	reserve Credit
-	at      time.Time
-	opens   time.Time
-	// first is the holder whose unmet need is served next, by measure.
-	first    [measures]holderKey
+	limits      contract.Limits
+	allocations map[holderKey]*allocation
+	// reserve is the unleased content of the buckets, last brought up to date
+	// at accruedAt. Nothing accrues and nothing new is granted before opens.
+	reserve   Credit
+	accruedAt time.Time
+	opens     time.Time
+	// next is the holder whose unmet need is served next, by measure.
+	next     [measures]holderKey
 	admitted uint64
 	refused  [clauses]uint64
-	// overLeased counts grants after which more than the contract was out.
+	// overLeased counts grants after which more than the contract was leased.
 	overLeased uint64
 }
 
-// line is one holder's part of a ledger.
-type line struct {
+// allocation is one holder's part of a ledger.
+type allocation struct {
 	// outstanding is the most that the holder may be using: the larger of
-	// what it reported and what it was granted since.
+	// what it reported and what it has been granted since.
 	outstanding Share
-	// planned is the last grant, which the holder will come down to.
+	// planned is the last grant, to which the holder will reduce its use.
 	planned Share
 	demand  Share
-	// first is the credit that the holder's first waiting request needs.
+	// first is the credit that the holder's first queued request needs.
 	first Credit
 	busy  float64
 }
 
 func newLedger(limits contract.Limits, opens time.Time) *ledger {
-	return &ledger{limits: limits, lines: make(map[holderKey]*line), at: opens, opens: opens}
+	return &ledger{limits: limits, allocations: make(map[holderKey]*allocation), accruedAt: opens, opens: opens}
 }
 
-// openFull opens the ledger of a contract that no earlier owner can have shared out.
+// openFull opens the ledger at the given time with full buckets. It is for a
+// contract that no earlier owner can have leased.
 func (l *ledger) openFull(now time.Time) {
-	l.opens, l.at = now, now
+	l.opens, l.accruedAt = now, now
 	l.reserve = Credit{1, 1}
 }
 
 func (l *ledger) outstanding() Share {
 	var sum Share
-	for _, line := range l.lines {
+	for _, alloc := range l.allocations {
 		for m := range sum {
-			sum[m] += line.outstanding[m]
+			sum[m] += alloc.outstanding[m]
 		}
 	}
 	return sum
 }
 
-// accrue refills the reserve at the part of the rate that is not leased.
+// accrue refills the reserve at the unleased part of the rate.
 func (l *ledger) accrue(now time.Time) {
-	if !now.After(l.at) {
+	if !now.After(l.accruedAt) {
 		return
 	}
-	elapsed := now.Sub(l.at).Seconds()
-	l.at = now
+	elapsed := now.Sub(l.accruedAt).Seconds()
+	l.accruedAt = now
 	leased := l.outstanding()
 	for b := range buckets {
 		free := max(0, 1-leased[b.rate()])
@@ -86,7 +89,7 @@
 	l.clip(leased)
 }
 
-// clip keeps the reserve within the part of the buckets that is not leased.
+// clip limits the reserve to the unleased part of the buckets.
 func (l *ledger) clip(leased Share) {
 	for b := range buckets {
 		l.reserve[b] = max(0, min(l.reserve[b], 1-leased[b.burst()]))
@@ -104,12 +107,12 @@
 	}
 }
 
-// report replaces what is known of a holder by what it says. It discards every
-// earlier grant once it has sent a newer renewal, so this is all that it holds.
+// report replaces what is known of a holder by its report. A holder discards
+// every earlier grant once it has sent a newer renewal, so the report is complete.
 func (l *ledger) report(key holderKey, h Holding) {
 	outstanding := h.Held
 	outstanding[Slots] = max(outstanding[Slots], h.Busy)
-	l.lines[key] = &line{outstanding: outstanding, planned: h.Held, demand: h.Demand, first: h.First, busy: h.Busy}
+	l.allocations[key] = &allocation{outstanding: outstanding, planned: h.Held, demand: h.Demand, first: h.First, busy: h.Busy}
 	for b := range buckets {
 		l.reserve[b] += h.Returned[b]
 	}
@@ -117,23 +120,23 @@
 }
 
 func (l *ledger) remove(key holderKey) {
-	delete(l.lines, key)
-	for m := range l.first {
-		if l.first[m] == key {
-			l.first[m] = holderKey{}
+	delete(l.allocations, key)
+	for m := range l.next {
+		if l.next[m] == key {
+			l.next[m] = holderKey{}
 		}
 	}
 }
 
 func (l *ledger) keepSlots(key holderKey) {
-	old := l.lines[key]
+	old := l.allocations[key]
 	l.remove(key)
 	kept := Share{Slots: old.outstanding[Slots]}
-	l.lines[key] = &line{outstanding: kept, planned: kept, demand: kept, busy: old.busy}
+	l.allocations[key] = &allocation{outstanding: kept, planned: kept, demand: kept, busy: old.busy}
 }
 
-// renewOnly grants no more than is held. Another holder that this owner has not
-// heard of may hold the rest.
+// renewOnly grants no more than is held. Another holder, not yet known to this
+// owner, may hold the rest.
 func (l *ledger) renewOnly(key holderKey, h Holding) Grant {
 	grant := Grant{Contract: h.Contract, Share: h.Held}
 	grant.Share[Slots] = min(h.Held[Slots], h.Demand[Slots])
@@ -141,13 +144,13 @@
 	for b := range buckets {
 		grant.Short.add(int(b), h.First[b] > 0)
 	}
-	l.lines[key].planned = grant.Share
+	l.allocations[key].planned = grant.Share
 	return grant
 }
 
 func (l *ledger) divide(key holderKey, h Holding) Grant {
 	grant := Grant{Contract: h.Contract}
-	line := l.lines[key]
+	alloc := l.allocations[key]
 	others := l.totals(key)
 	for b := range buckets {
 		l.divideBucket(b, key, h, others, &grant)
@@ -156,21 +159,21 @@
 	grant.Share[Slots] = slots
 	grant.Short.add(slotClause, short)
 	for m := range measures {
-		line.outstanding[m] = max(line.outstanding[m], grant.Share[m])
+		alloc.outstanding[m] = max(alloc.outstanding[m], grant.Share[m])
 	}
-	line.planned = grant.Share
+	alloc.planned = grant.Share
 	leased := l.outstanding()
 	l.checkLeased(leased)
 	l.clip(leased)
 	return grant
 }
 
-// overTolerance is how much rounding may add to a sum of many shares.
+// overTolerance is the largest rounding error expected in a sum of many shares.
 const overTolerance = 1e-6
 
-// checkLeased counts a rate or burst that is leased twice, which no schedule of
-// messages may bring about. Slots can be over after a cut of the concurrency,
-// until the requests that run have ended.
+// checkLeased counts rates and bursts that are leased twice, which must not happen
+// under any order of messages. Slots are not checked: they can exceed the
+// contract after its concurrency was reduced, until running requests have ended.
 func (l *ledger) checkLeased(leased Share) {
 	for b := range buckets {
 		if leased[b.rate()] > 1+overTolerance || leased[b.burst()] > 1+overTolerance {
@@ -184,36 +187,36 @@
 
 func (l *ledger) totals(except holderKey) totals {
 	var t totals
-	for key, line := range l.lines {
+	for key, alloc := range l.allocations {
 		if key == except {
 			continue
 		}
 		for m := range measures {
-			t.outstanding[m] += line.outstanding[m]
-			t.planned[m] += line.planned[m]
-			t.demand[m] += min(1, line.demand[m])
+			t.outstanding[m] += alloc.outstanding[m]
+			t.planned[m] += alloc.planned[m]
+			t.demand[m] += min(1, alloc.demand[m])
 		}
 	}
 	return t
 }
 
-// proportion is a holder's part by its demand.
+// proportion returns the part of a holder in proportion to its demand.
 func proportion(demand, others float64) float64 {
 	return demand / max(1, demand+others)
 }
 
-// divideBucket grants a rate, credit and the capacity to hold both.
+// divideBucket grants a rate, credit, and the capacity to hold both.
 func (l *ledger) divideBucket(b bucket, key holderKey, h Holding, others totals, grant *Grant) {
 	rate := l.leasedRate(b, h, others)
 	credit, short := l.lend(b, key, h, others)
 	room := 0.0
 	if rate > 0 {
-		room = rate*l.refill(b)*saveTime.Seconds() + h.Mean[b]
+		room = rate*l.refill(b)*leasedBurstTime.Seconds() + h.Mean[b]
 	}
-	if others.outstanding[b.burst()]+h.Level[b]+room > roomLimit(h.Held[b.rate()]) {
+	if others.outstanding[b.burst()]+h.Level[b]+room > maxOut(h.Held[b.rate()]) {
 		rate, room = 0, 0
 	}
-	l.queueFirst(b.burst(), key, short && rate == 0)
+	l.updateNext(b.burst(), key, short && rate == 0)
 	level := h.Level[b] + credit
 	safe := 1 - others.outstanding[b.burst()]
 	planned := max(level, 1-others.planned[b.burst()]-l.heldBack(b, key))
@@ -224,28 +227,30 @@
 	grant.Reserve[b] = l.reserve[b]
 }
 
-// roomLimit is how much of a bucket may be out at holders when one gets a rate.
-// Capacity that is out cannot take up what the reserve refills.
-func roomLimit(heldRate float64) float64 {
+// maxOut returns the fraction of a bucket's capacity that holders may have when
+// one of them gets a rate. Capacity held by holders is lost to the reserve, which
+// has no space for what it refills.
+func maxOut(heldRate float64) float64 {
 	if heldRate > 0 {
-		return roomShareKept
+		return maxOutRenewed
 	}
-	return roomShare
+	return maxOutNew
 }
 
-// refill is the bucket's refill a second, as a fraction of its capacity.
+// refill returns the bucket's refill per second as a fraction of its capacity.
 func (l *ledger) refill(b bucket) float64 { return refill(b, l.limits) / capacity(b, l.limits) }
 
-// leasedRate is the part of the rate that a holder refills by itself. A part
-// that brings a request only now and then is not leased: it stays in the
-// reserve, where whichever entry needs it next finds a whole request.
+// leasedRate returns the part of the rate to lease to a holder. A part that yields
+// a request only rarely is not leased: it stays in the reserve, where credit for a
+// whole request accumulates for the entry that needs it next.
 func (l *ledger) leasedRate(b bucket, h Holding, others totals) float64 {
 	m := b.rate()
 	target := proportion(min(1, h.Demand[m]), others.demand[m])
 	least := steadyRate * h.Mean[b]
 	if held := h.Held[m]; held > 0 {
-		// A cut rate refills nobody until the holder confirms it, so a
-		// rate that swings with every burst would waste the contract.
+		// The part by which a rate is reduced refills no bucket until the
+		// holder confirms it, so a rate that follows every burst would waste
+		// part of the contract.
 		least *= keepRate
 		if target > held*keepShare && target < held {
 			target = held
@@ -258,9 +263,9 @@
 	return rate
 }
 
-// lend moves credit for whole requests from the reserve to a holder. Less than
-// its first request needs is of no use there, and many entries would each sit
-// on a part of a request; so the reserve keeps it.
+// lend moves credit from the reserve to a holder. Credit that does not cover the
+// holder's first request stays in the reserve: the holder could not use it, and
+// many entries would each hold credit for a part of a request.
 func (l *ledger) lend(b bucket, key holderKey, h Holding, others totals) (credit float64, short bool) {
 	if h.First[b] <= 0 {
 		return 0, false
@@ -274,23 +279,24 @@
 	return credit, false
 }
 
-// promised is what the reserve keeps for the holder that is served next.
-// Without it, small requests of others would use up what a large one waits for.
+// promised returns the credit that the reserve keeps for the holder served next.
+// Otherwise small requests of other holders would use up the credit that a large
+// request waits for.
 func (l *ledger) promised(b bucket, key holderKey) float64 {
-	first := l.first[b.burst()]
-	line, ok := l.lines[first]
-	if !ok || first == key {
+	next := l.next[b.burst()]
+	alloc, ok := l.allocations[next]
+	if !ok || next == key {
 		return 0
 	}
-	return line.first[b]
+	return alloc.first[b]
 }
 
-// heldBack is the capacity that others must leave for what is promised.
+// heldBack returns the capacity that others must leave for the promised credit.
 func (l *ledger) heldBack(b bucket, key holderKey) float64 { return l.promised(b, key) }
 
-// divideSlots grants whole slots. A holder with none in use and a waiting
-// request is served before others raise theirs; without that, holders with a
-// steady load would pass a slot from one request to the next for ever.
+// divideSlots grants whole slots. A holder with a queued request and no slot in use
+// is served before others get more. Otherwise holders under steady load would
+// reuse their slots for their own requests indefinitely and starve it.
 func (l *ledger) divideSlots(key holderKey, h Holding, others totals) (slots float64, short bool) {
 	demand := min(1, h.Demand[Slots])
 	unit := 1 / float64(l.limits.Concurrency)
@@ -299,26 +305,27 @@
 	free := min(target, demand, 1-others.outstanding[Slots], planned)
 	slots = max(0, math.Floor(free/unit+epsilon)*unit)
 	short = slots < demand-epsilon
-	l.queueFirst(Slots, key, slots < h.Need-epsilon)
+	l.updateNext(Slots, key, slots < h.Need-epsilon)
 	return slots, short
 }
 
 func (l *ledger) slotHeldBack(key holderKey, unit float64) float64 {
-	first := l.first[Slots]
-	line, ok := l.lines[first]
-	if !ok || first == key {
+	next := l.next[Slots]
+	alloc, ok := l.allocations[next]
+	if !ok || next == key {
 		return 0
 	}
-	return max(0, unit-line.planned[Slots])
+	return max(0, unit-alloc.planned[Slots])
 }
 
-// queueFirst makes a holder the one that is served next, or ends that.
-func (l *ledger) queueFirst(m Measure, key holderKey, short bool) {
-	_, taken := l.lines[l.first[m]]
+// updateNext makes a holder the one that is served next if it is short and the
+// place is free, or frees the place if it is no longer short.
+func (l *ledger) updateNext(m Measure, key holderKey, short bool) {
+	_, taken := l.allocations[l.next[m]]
 	switch {
 	case short && !taken:
-		l.first[m] = key
-	case !short && l.first[m] == key:
-		l.first[m] = holderKey{}
+		l.next[m] = key
+	case !short && l.next[m] == key:
+		l.next[m] = holderKey{}
 	}
 }
--- a/coord/quota/owner.go
+++ b/coord/quota/owner.go
@@ -8,30 +8,31 @@
 	"github.com/rosemarypass/rosemarypass/coord/contract"
 )
 
-// Contracts looks a contract up; a retired one is not found.
+// Contracts looks up a contract by its ID. It does not return retired contracts.
 type Contracts func(id string) (contract.Contract, bool)
 
-// Tenure is the time during which one instance owns the quotas.
+// Tenure is the period during which one instance owns the quotas.
 type Tenure struct {
-	// Epoch is the fencing token; it grows with every owner.
+	// Epoch is the fencing token. It increases with every owner.
 	Epoch uint64
 	// Index is the log index at which the tenure began. A contract created
-	// later cannot have been shared out by an earlier owner of this log.
+	// later cannot have been leased by an earlier owner of this log.
 	Index uint64
-	// Began is when the tenure began: no earlier owner grants after it.
+	// Began is when the tenure began. No earlier owner grants anything after it.
 	Began time.Time
 }
 
 // Owner divides contracts among holders during one tenure. It is not safe for
-// concurrent use: one duty owns it.
+// concurrent use: a single duty uses it.
 type Owner struct {
 	options   Options
 	tenure    Tenure
 	contracts Contracts
 	holders   map[holderKey]*holderRecord
-	newest    map[string]uint64
-	ledgers   map[string]*ledger
-	// overLeased is the sum over all ledgers, also of those dropped since.
+	// newest is the highest incarnation seen, by holder name.
+	newest  map[string]uint64
+	ledgers map[string]*ledger
+	// overLeased is the sum over all ledgers, including dropped ones.
 	overLeased uint64
 }
 
@@ -40,17 +41,18 @@
 	incarnation uint64
 }
 
-// holderRecord is what the owner knows of one incarnation of a holder.
+// holderRecord is what the owner knows about one incarnation of a holder.
 type holderRecord struct {
+	// number is that of the last renewal.
 	number  uint64
 	expires time.Time
-	// known is true since a full renewal, until the lease runs out.
+	// known is true from a full renewal until the lease expires.
 	known bool
-	// ledgers are those with a line of this holder.
+	// ledgers are the contracts of which this holder has an allocation.
 	ledgers map[string]struct{}
 }
 
-// NewOwner begins a tenure.
+// NewOwner returns an owner at the beginning of a tenure.
 func NewOwner(options Options, tenure Tenure, contracts Contracts) *Owner {
 	return &Owner{
 		options:   options,
@@ -62,12 +64,12 @@
 	}
 }
 
-// opens is when every lease of earlier owners has run out.
+// opens returns the time at which every lease granted by earlier owners has expired.
 func (o *Owner) opens() time.Time {
 	return o.tenure.Began.Add(o.options.Lease + o.options.Margin)
 }
 
-// Renew takes a renewal into account and grants shares.
+// Renew processes a renewal and grants shares.
 func (o *Owner) Renew(now time.Time, renewal Renewal) Reply {
 	reply := Reply{Incarnation: renewal.Incarnation, Number: renewal.Number, Epoch: o.tenure.Epoch}
 	if renewal.Epoch > o.tenure.Epoch {
@@ -80,8 +82,8 @@
 	}
 	record.number = renewal.Number
 	if !renewal.Full && !record.known {
-		// What the holder does not speak of would be leased to others while
-		// an accepted renewal prolongs its lease.
+		// Accepting the renewal would extend the holder's lease also on shares
+		// that it does not list, which may be leased to others.
 		reply.Full = true
 		return reply
 	}
@@ -93,7 +95,7 @@
 		reply.Grants = append(reply.Grants, o.grant(now, key, record, holding, renewal.Epoch == o.tenure.Epoch))
 	}
 	if renewal.Full {
-		o.dropUnnamed(now, key, record, renewal.Holdings)
+		o.dropUnlisted(now, key, record, renewal.Holdings)
 	}
 	return reply
 }
@@ -108,20 +110,20 @@
 	return record
 }
 
-// dropUnnamed frees what a full renewal does not speak of.
-func (o *Owner) dropUnnamed(now time.Time, key holderKey, record *holderRecord, holdings []Holding) {
-	named := make(map[string]struct{}, len(holdings))
+// dropUnlisted frees the shares that a full renewal does not list.
+func (o *Owner) dropUnlisted(now time.Time, key holderKey, record *holderRecord, holdings []Holding) {
+	listed := make(map[string]struct{}, len(holdings))
 	for _, holding := range holdings {
-		named[holding.Contract] = struct{}{}
+		listed[holding.Contract] = struct{}{}
 	}
 	for id := range record.ledgers {
-		if _, ok := named[id]; !ok {
-			o.dropLine(now, key, record, id)
+		if _, ok := listed[id]; !ok {
+			o.dropAllocation(now, key, record, id)
 		}
 	}
 }
 
-func (o *Owner) dropLine(now time.Time, key holderKey, record *holderRecord, id string) {
+func (o *Owner) dropAllocation(now time.Time, key holderKey, record *holderRecord, id string) {
 	l := o.ledgers[id]
 	l.accrue(now)
 	l.remove(key)
@@ -132,21 +134,21 @@
 	agreed, ok := o.contracts(holding.Contract)
 	if !ok {
 		o.reportRetired(now, key, holding)
-		return Grant{Contract: holding.Contract, Short: everything}
+		return Grant{Contract: holding.Contract, Short: allClauses}
 	}
 	l := o.ledger(now, holding.Contract, agreed)
-	// The past accrues by the limits that held then.
+	// Accrue up to now by the old limits before applying the new ones.
 	l.accrue(now)
 	l.limits = agreed.Limits
 	l.count(holding)
 	if !known {
-		// A late copy from an earlier tenure would return credit twice.
+		// A delayed copy from an earlier tenure would return credit twice.
 		holding.Returned = Credit{}
 	}
 	l.report(key, holding)
 	record.ledgers[holding.Contract] = struct{}{}
-	if holding.over() {
-		o.dropLine(now, key, record, holding.Contract)
+	if holding.empty() {
+		o.dropAllocation(now, key, record, holding.Contract)
 		return Grant{Contract: holding.Contract}
 	}
 	if now.Before(l.opens) {
@@ -158,19 +160,20 @@
 	return grant
 }
 
-// OverLeased counts grants in this tenure after which more than a contract was
-// out. It stays 0 unless this package is at fault.
+// OverLeased returns the number of grants in this tenure after which more than a
+// contract was leased. A value other than 0 shows a bug in this package.
 func (o *Owner) OverLeased() uint64 { return o.overLeased }
 
-// reportRetired notes what is left of a contract that grants nothing any more.
+// reportRetired records what a holder still has of a retired contract, which
+// grants nothing more.
 func (o *Owner) reportRetired(now time.Time, key holderKey, holding Holding) {
 	l, ok := o.ledgers[holding.Contract]
-	if !ok || l.lines[key] == nil {
+	if !ok || l.allocations[key] == nil {
 		return
 	}
 	l.accrue(now)
 	l.report(key, holding)
-	l.lines[key].planned = Share{}
+	l.allocations[key].planned = Share{}
 }
 
 func (o *Owner) ledger(now time.Time, id string, agreed contract.Contract) *ledger {
@@ -178,6 +181,11 @@
 		return l
 	}
 	l := newLedger(agreed.Limits, o.opens())
+	// A contract created during this tenure starts with full buckets, but not
+	// before the leases of earlier owners have expired: a log that was founded
+	// anew may contain a contract again whose shares, granted from the lost log,
+	// entries still use. Opened immediately it would be leased twice, and a
+	// customer could run twice its concurrency.
 	if agreed.Created > o.tenure.Index {
 		l.openFull(later(now, o.opens()))
 	}
@@ -185,11 +193,7 @@
 	return l
 }
 
-// later returns the later of two moments. A contract of the owner's own time
-// opens full, but not before leases of earlier owners have run out: a log that
-// is founded anew may hold a contract again whose shares, from the lost log,
-// entries still use. Opened at once it would be leased twice, and a customer
-// could run twice its concurrency.
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -197,9 +201,9 @@
 	return b
 }
 
-// Expire drops holders whose leases have run out and ledgers that hold nothing
-// worth remembering. A timer calls it; until then such leases count as held,
-// which is safe.
+// Expire drops holders whose leases have expired, and ledgers without allocations
+// whose buckets are full. It is called periodically; until then expired leases
+// count as held, which is safe.
 func (o *Owner) Expire(now time.Time) {
 	for key, record := range o.holders {
 		if now.Before(record.expires) {
@@ -208,7 +212,7 @@
 		o.expireHolder(now, key, record)
 	}
 	for id, l := range o.ledgers {
-		if len(l.lines) > 0 {
+		if len(l.allocations) > 0 {
 			continue
 		}
 		l.accrue(now)
@@ -218,21 +222,21 @@
 	}
 }
 
-// expireHolder frees the shares of a silent holder. Its requests may still run:
-// a holder that is cut off from control is not cut off from its servers. So its
-// slots stay counted for the longest run, unless the process is gone, which a
-// newer incarnation of the same name proves.
+// expireHolder frees the shares of a holder whose lease has expired. Its requests
+// may still run, as a holder that cannot reach control may still reach its backend
+// servers. So its slots stay counted for SlotHold, unless a newer incarnation of
+// the same name proves that the process has ended.
 func (o *Owner) expireHolder(now time.Time, key holderKey, record *holderRecord) {
 	record.known = false
 	gone := o.newest[key.name] > key.incarnation || !now.Before(record.expires.Add(o.options.SlotHold))
 	for id := range record.ledgers {
 		l := o.ledgers[id]
-		if slots := l.lines[key].outstanding[Slots]; slots > 0 && !gone {
+		if slots := l.allocations[key].outstanding[Slots]; slots > 0 && !gone {
 			l.accrue(now)
 			l.keepSlots(key)
 			continue
 		}
-		o.dropLine(now, key, record, id)
+		o.dropAllocation(now, key, record, id)
 	}
 	if len(record.ledgers) > 0 || now.Before(record.expires.Add(o.options.Memory)) {
 		return
@@ -243,24 +247,25 @@
 	}
 }
 
-// Standing is what operators see of one contract.
+// Standing describes the use of one contract to operators.
 type Standing struct {
 	Contract string `json:"contract"`
-	// Leased is the part of the contract that entries hold.
+	// Leased is the fraction of the contract that entries hold.
 	Leased Share `json:"leased"`
-	// Busy is the part of the concurrency in use.
+	// Busy is the fraction of the concurrency in use.
 	Busy float64 `json:"busy"`
 	// Reserve is the unleased content of the buckets.
 	Reserve Credit `json:"reserve"`
 	// Holders is the number of entries with a share.
 	Holders int `json:"holders"`
-	// Admitted counts requests in this tenure.
+	// Admitted counts admitted requests in this tenure.
 	Admitted uint64 `json:"admitted"`
-	// Refused counts refusals by clause in this tenure.
+	// Refused counts refused requests by clause in this tenure.
 	Refused map[contract.Clause]uint64 `json:"refused"`
 }
 
-// Standing reports on one contract; it is empty for one that nobody uses.
+// Standing returns the use of one contract. An unused contract has full reserves
+// and no holders.
 func (o *Owner) Standing(id string) Standing {
 	standing := Standing{Contract: id, Refused: make(map[contract.Clause]uint64)}
 	l, ok := o.ledgers[id]
@@ -270,18 +275,18 @@
 	}
 	standing.Leased = l.outstanding()
 	standing.Reserve = l.reserve
-	standing.Holders = len(l.lines)
+	standing.Holders = len(l.allocations)
 	standing.Admitted = l.admitted
 	for i, clause := range clauseNames {
 		standing.Refused[clause] = l.refused[i]
 	}
-	for _, line := range l.lines {
-		standing.Busy += line.busy
+	for _, alloc := range l.allocations {
+		standing.Busy += alloc.busy
 	}
 	return standing
 }
 
-// Contracts returns the identifiers of the contracts in use, in no order.
+// Contracts returns the identifiers of the contracts in use, in no particular order.
 func (o *Owner) Contracts() []string {
 	return slices.Collect(maps.Keys(o.ledgers))
 }
--- a/coord/quota/quota.go
+++ b/coord/quota/quota.go
@@ -1,22 +1,22 @@
-// Package quota makes a contract's limits hold across all entries.
+// Package quota enforces a contract's limits across all entries.
 //
-// One owner divides each contract among the entries that use it. An entry (the
-// holder) has a lease on a share and admits requests on its own within it. The
-// shares of a contract never add up to more than the contract:
+// One owner divides each contract among the entries that use it. Each entry (a
+// holder) leases a share and admits requests locally within it. The shares of a
+// contract never add up to more than the contract:
 //
-//   - a share grows only by a grant, and the owner counts the larger of what a
-//     holder said it holds and what it was last granted, until the holder says
-//     otherwise or its lease has run out;
-//   - a holder counts its lease from when it sent the renewal, the owner from
-//     when it received it, so the holder's ends first without a common clock;
-//   - a new owner raises no share until every lease of its predecessor has run
-//     out, but renews what holders report.
+//   - A share grows only by a grant. The owner counts the larger of what a
+//     holder reported and what it was last granted, until the holder's next
+//     report or the end of its lease.
+//   - A holder starts its lease when it sends the renewal, the owner when it
+//     receives it, so the holder's lease ends first without a common clock.
+//   - A new owner raises no share until every lease granted by its predecessor
+//     has expired, but renews the shares that holders report.
 //
 // Shares are fractions of the contract. Each side applies them to the limits
-// that it follows, so a changed contract is in force at an entry as soon as the
-// entry knows it, without a message of this package.
+// that it knows, so a changed contract takes effect at an entry as soon as the
+// entry learns of it, without a message of this package.
 //
-// A contract that nobody uses has no state here and no messages.
+// An unused contract has no state here and causes no messages.
 package quota
 
 import (
@@ -25,11 +25,11 @@
 	"github.com/rosemarypass/rosemarypass/coord/contract"
 )
 
-// Measure is one of the quantities that are shared out.
+// Measure is one of the quantities that the owner divides among holders.
 type Measure int
 
-// The measures. A rate is a part of the bucket's refill, a burst a part of its
-// capacity.
+// The measures. A rate is a fraction of a bucket's refill rate, a burst a
+// fraction of its capacity.
 const (
 	RequestRate Measure = iota
 	TokenRate
@@ -54,19 +54,19 @@
 // Share is a fraction of a contract, by measure, each from 0 to 1.
 type Share [measures]float64
 
-// Credit is an amount that moves between buckets, as fractions of their capacity.
+// Credit is an amount moved between buckets, in fractions of their capacity.
 type Credit [buckets]float64
 
 const (
-	// burstTime is how long the unused rate of requests may be saved up.
+	// burstTime is the period over which unused request rate accumulates.
 	burstTime = time.Second
-	// epsilon absorbs rounding of sums of fractions.
+	// epsilon absorbs rounding errors in sums of fractions.
 	epsilon = 1e-9
 )
 
-// Capacity and Refill define what a contract allows in any period of t
-// seconds: Capacity + Refill*t. A request bucket holds one second's requests
-// and one more, a token bucket one minute's tokens.
+// capacity returns the size of a bucket. Together with refill it defines what a
+// contract allows in any period of t seconds: capacity + refill*t. A request
+// bucket holds one second's requests plus one, a token bucket one minute's tokens.
 func capacity(b bucket, limits contract.Limits) float64 {
 	if b == tokenBucket {
 		return float64(limits.TokensPerMinute)
@@ -74,7 +74,7 @@
 	return limits.RequestsPerSecond*burstTime.Seconds() + 1
 }
 
-// refill is in units per second.
+// refill returns the refill rate of a bucket in units per second.
 func refill(b bucket, limits contract.Limits) float64 {
 	if b == tokenBucket {
 		return float64(limits.TokensPerMinute) / time.Minute.Seconds()
@@ -82,21 +82,22 @@
 	return limits.RequestsPerSecond
 }
 
-// Options are common to the owner and the holders.
+// Options configure both the owner and the holders.
 type Options struct {
-	// Lease is how long a share lasts after its renewal was sent.
+	// Lease is how long a share is valid after its renewal was sent.
 	Lease time.Duration
-	// Margin is what the owner waits beyond a lease for clocks that run at
-	// different speeds.
+	// Margin is added to the lease by the owner, to allow for clocks that run
+	// at different speeds.
 	Margin time.Duration
-	// SlotHold is how long the slots of a holder that fell silent stay
-	// counted after its lease: the longest time that a request is expected
-	// to run.
+	// SlotHold is how long the owner keeps counting the slots of a holder
+	// after its lease has expired: the longest time that a request is
+	// expected to run.
 	SlotHold time.Duration
-	// Memory is how long the owner remembers the number of a holder's last
-	// renewal, so that a late copy of an older one has no effect.
+	// Memory is how long the owner keeps the number of a holder's last
+	// renewal, so that a delayed copy of an older one has no effect.
 	Memory time.Duration
-	// QueueLimit bounds the waiting requests of one contract at one holder.
+	// QueueLimit is the maximum number of queued requests of one contract at
+	// one holder.
 	QueueLimit int
 }
 
@@ -111,41 +112,42 @@
 	}
 }
 
-// Holding is what a holder says about one contract.
+// Holding is a holder's report on one contract.
 type Holding struct {
 	Contract string `json:"c"`
-	// Held is the most that the holder can use until a newer grant.
+	// Held is the most that the holder can use before a newer grant.
 	Held Share `json:"h,omitzero"`
-	// Demand is what it could use of the rates and slots.
+	// Demand is how much of the rates and slots the holder could use.
 	Demand Share `json:"d,omitzero"`
-	// Need is the least part of the slots that helps it.
+	// Need is the smallest fraction of the slots that lets a queued request
+	// start.
 	Need float64 `json:"n,omitempty"`
-	// Level is the content of its buckets and Mean what a request takes on
-	// average.
+	// Level is the content of the holder's buckets, Mean the average cost of a
+	// request.
 	Level Credit `json:"l,omitzero"`
 	Mean  Credit `json:"m,omitzero"`
-	// Ask is the credit that its waiting requests need, First what the first
-	// of them needs.
+	// Ask is the credit that the queued requests need, First the credit that
+	// the first of them needs.
 	Ask   Credit `json:"a,omitzero"`
 	First Credit `json:"f,omitzero"`
-	// Returned is credit that the holder no longer has.
+	// Returned is credit that the holder gives back to the owner.
 	Returned Credit `json:"r,omitzero"`
-	// Busy is the part of the concurrency that runs requests; it may be more
-	// than the share after a cut.
+	// Busy is the fraction of the concurrency in use. It may exceed the share
+	// after the share was reduced.
 	Busy float64 `json:"b,omitempty"`
 	// Admitted and Refused count requests since the last renewal, for
-	// operators; a lost renewal loses them.
+	// operators. The counts of a lost renewal are lost.
 	Admitted uint32          `json:"ad,omitempty"`
 	Refused  [clauses]uint32 `json:"re,omitzero"`
 }
 
-// over reports that the holder has no more to do with the contract.
-func (h Holding) over() bool {
+// empty reports whether the holder neither holds nor needs any part of the contract.
+func (h Holding) empty() bool {
 	return h.Held == Share{} && h.Demand == Share{} && h.First == Credit{} && h.Busy == 0
 }
 
-// The clauses that this package enforces are counted in this order; those of
-// the buckets come first, in the order of the buckets.
+// Indexes of the clauses that this package enforces. The clauses of the buckets
+// come first, in the order of the buckets.
 const (
 	requestClause = int(requestBucket)
 	tokenClause   = int(tokenBucket)
@@ -159,7 +161,7 @@
 	slotClause:    contract.ClauseConcurrency,
 }
 
-// shortage is the set of clauses of which a holder got less than it needs.
+// shortage is the set of clauses for which a holder got less than it needs.
 type shortage uint8
 
 func (s shortage) has(clause int) bool { return s&(1<<clause) != 0 }
@@ -170,45 +172,46 @@
 	}
 }
 
-// Renewal is one holder's message. It renews the lease of every share that the
-// holder has, whether or not it speaks of it.
+// Renewal is a holder's message to the owner. It renews the lease on every share
+// of the holder, including those that it does not list.
 type Renewal struct {
 	Holder      string `json:"holder"`
 	Incarnation uint64 `json:"incarnation"`
-	// Number grows with every renewal of an incarnation.
+	// Number increases with every renewal of an incarnation.
 	Number uint64 `json:"number"`
-	// Epoch is the highest owner epoch that the holder knows.
+	// Epoch is the highest owner epoch known to the holder.
 	Epoch uint64 `json:"epoch,omitempty"`
-	// Full is true when Holdings are all that the holder has. Otherwise they
-	// are those about which there is something new to say.
+	// Full is true when Holdings lists everything that the holder has.
+	// Otherwise it lists only what has changed.
 	Full     bool      `json:"full,omitempty"`
 	Holdings []Holding `json:"holdings,omitempty"`
 }
 
-// Grant is a holder's share of one contract from now on.
+// Grant sets a holder's share of one contract.
 type Grant struct {
 	Contract string `json:"c"`
 	Share    Share  `json:"s,omitzero"`
 	Credit   Credit `json:"k,omitzero"`
-	// Short names the clauses of which the holder got less than it needs, so
-	// that asking again at once is of no use.
+	// Short is the set of clauses for which the holder got less than it needs,
+	// so that asking again immediately would not help.
 	Short shortage `json:"t,omitempty"`
-	// Reserve is the owner's content of the buckets.
+	// Reserve is the content of the owner's buckets.
 	Reserve Credit `json:"v,omitzero"`
 }
 
 // Reply answers a renewal.
 type Reply struct {
 	// Incarnation and Number are those of the renewal. A restarted holder
-	// counts from 1 again and must not take an answer to its predecessor.
+	// numbers its renewals from 1 again and must not accept a reply to its
+	// predecessor.
 	Incarnation uint64 `json:"incarnation"`
 	Number      uint64 `json:"number"`
 	Epoch       uint64 `json:"epoch,omitempty"`
 	// Accepted is false when this instance does not own the quotas or the
 	// renewal is not the holder's newest.
 	Accepted bool `json:"accepted,omitempty"`
-	// Full asks for a full renewal: the owner does not know what else the
-	// holder has.
+	// Full asks for a full renewal, because the owner does not know what else
+	// the holder has.
 	Full   bool    `json:"full,omitempty"`
 	Grants []Grant `json:"grants,omitempty"`
 }
--- a/coord/quota/recovery_test.go
+++ b/coord/quota/recovery_test.go
@@ -9,7 +9,8 @@
 	"github.com/rosemarypass/rosemarypass/coord/contract"
 )
 
-// quiesce ends every request and lets each holder reach the owner for a while.
+// quiesce ends every request and then lets each holder exchange renewals with the
+// owner for several intervals.
 func (w *world) quiesce() {
 	for _, h := range w.holders {
 		for len(h.admitted)+len(h.queued) > 0 {
@@ -31,10 +32,10 @@
 	}
 }
 
-// After any schedule of losses, when nobody uses the contract any more, nothing
-// of it stays taken. Otherwise a customer would lose a part of what it pays for
-// with each lost message, for as long as the entry runs.
-func TestNothingStaysTakenAfterTheLastRequest(t *testing.T) {
+// Under any schedule of lost messages, once the contract is unused all of it must be
+// free again. Otherwise a customer would lose a part of its contract with each lost
+// message, for as long as the entry runs.
+func TestAllSharesAreFreedAfterLastRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		w.now = w.now.Add(time.Minute)
@@ -44,7 +45,7 @@
 		w.quiesce()
 		for id, l := range w.owner.ledgers {
 			if taken := l.outstanding(); taken != (Share{}) {
-				t.Fatalf("%s: %v is taken by %d holders", id, taken, len(l.lines))
+				t.Fatalf("%s: %v is still held by %d holders", id, taken, len(l.allocations))
 			}
 		}
 		for _, h := range w.holders {
@@ -55,24 +56,24 @@
 	})
 }
 
-// An entry restarts while an answer to it is under way. The new process counts
-// its renewals from 1 again.
-func TestHolderIgnoresAnswersToItsPredecessor(t *testing.T) {
+// An entry restarts while a reply to it is in flight. The new process numbers its
+// renewals from 1 again.
+func TestHolderIgnoresRepliesToPreviousIncarnation(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	h := NewHolder(DefaultOptions(), "entry", 2)
-	h.Ask(now, Request{ID: 1, Contract: agreement("a", 50, 6000, 10), Tokens: 1})
+	h.Ask(now, Request{ID: 1, Contract: testContract("a", 50, 6000, 10), Tokens: 1})
 	r := h.Renewal(now, true)
 	h.Reply(now, Reply{Incarnation: 1, Number: r.Number, Epoch: 1, Accepted: true, Grants: []Grant{{Contract: "a", Share: Share{1, 1, 1, 1, 1}}}})
 	if h.Leased(now) {
-		t.Error("the holder took an answer to its predecessor")
+		t.Error("the holder accepted a reply to its previous incarnation")
 	}
 }
 
-// A new owner hears of one contract in a partial renewal. Accepted, it would
-// prolong the entry's lease on others that the owner does not count.
-func TestOwnerAsksAStrangerForEverything(t *testing.T) {
+// A new owner gets a partial renewal that lists one contract. Accepting it would
+// extend the entry's lease also on shares that the owner does not count.
+func TestOwnerRequestsFullRenewalFromUnknownHolder(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	agreed := agreement("a", 50, 6000, 10)
+	agreed := testContract("a", 50, 6000, 10)
 	owner := NewOwner(DefaultOptions(), Tenure{Epoch: 2, Began: now.Add(-time.Hour)}, func(string) (contract.Contract, bool) { return agreed, true })
 	h := NewHolder(DefaultOptions(), "entry", 1)
 	h.full = false
@@ -87,15 +88,15 @@
 	}
 	full := h.Renewal(now, false)
 	if actions := h.Reply(now, owner.Renew(now, full)); !full.Full || len(actions) != 1 {
-		t.Errorf("the full renewal brought %v", actions)
+		t.Errorf("the full renewal resulted in %v", actions)
 	}
 }
 
-// What lies in a bucket must go with the capacity that a grant takes away.
-func TestCutShareCutsItsContent(t *testing.T) {
+// When a grant reduces the capacity of a bucket, its content must be reduced too.
+func TestReducedShareReducesLevel(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	h := NewHolder(DefaultOptions(), "entry", 1)
-	h.Ask(now, Request{ID: 1, Contract: agreement("a", 9, 6000, 10), Tokens: 1})
+	h.Ask(now, Request{ID: 1, Contract: testContract("a", 9, 6000, 10), Tokens: 1})
 	grant := func(share Share, credit Credit) {
 		r := h.Renewal(now, true)
 		h.Reply(now, Reply{Incarnation: 1, Number: r.Number, Epoch: 1, Accepted: true, Grants: []Grant{{Contract: "a", Share: share, Credit: credit}}})
@@ -107,15 +108,15 @@
 	}
 	grant(Share{0, 0, 0.1, 0.1, 1}, Credit{})
 	if a.level[requestBucket] > 1 || a.level[tokenBucket] > 600 {
-		t.Errorf("after the cut the level is %v", a.level)
+		t.Errorf("after the reduction the level is %v", a.level)
 	}
 }
 
-// Two slots, four entries with a queue each. An entry that ends a request could
-// give its slot to its own next one for ever, while requests at the others wait
-// until they are refused.
-func TestSlotsGoRoundAmongEntries(t *testing.T) {
-	agreed := agreement("a", 1000, 1<<40, 2)
+// Four entries with queues share two slots. An entry must not reuse its slot for its
+// own next request indefinitely, while requests at other entries wait until they
+// are refused.
+func TestSlotsRotateAmongEntries(t *testing.T) {
+	agreed := testContract("a", 1000, 1<<40, 2)
 	sim := simulate(scenario{entries: 4, agreed: []contract.Contract{agreed}, rate: 40, tokens: 10, run: 100 * time.Millisecond, seconds: 40})
 	t.Logf("admitted by entry: %v", sim.admittedBy)
 	for i := range 4 {
@@ -128,10 +129,11 @@
 	}
 }
 
-// One request needs half a minute's tokens; many small ones come all the time.
-// Served as they come, the small ones would use up what the large one waits for.
+// One request needs half a minute's tokens while many small ones keep arriving. Served
+// in order of arrival, the small ones would use up the credit that the large one
+// waits for.
 func TestLargeRequestIsNotStarvedBySmallOnes(t *testing.T) {
-	agreed := agreement("a", 1000, 60_000, 1000)
+	agreed := testContract("a", 1000, 60_000, 1000)
 	agreed.Limits.MaxWait = 10 * time.Minute
 	var large RequestID
 	sim := simulate(scenario{
@@ -151,10 +153,10 @@
 	}
 }
 
-// So many control processes are stopped that no leader can be elected, for ten
-// seconds. Nobody can lease the shares to another entry, so the entries go on
-// with them; and the owner that comes then must not lease them a second time.
-func TestSharesGoOnWhileNoOwnerCanExist(t *testing.T) {
+// For ten seconds too few control processes run to elect a leader. As no owner can
+// lease the shares to other entries, the entries keep using them, and the next owner
+// must not lease them a second time.
+func TestSharesStayValidWhileNoOwnerIsPossible(t *testing.T) {
 	at := map[int]func(*simulation){
 		40: func(s *simulation) { s.down = false; s.newOwner(s.now) },
 	}
@@ -177,33 +179,33 @@
 	}
 }
 
-// The lease has run out before the entry learns that no owner can exist. What
-// it held may have been leased to others in between.
-func TestExtensionRevivesNothing(t *testing.T) {
+// The lease expires before the entry learns that no owner can exist. Its shares may
+// have been leased to others in between, so the lease must not be extended.
+func TestExtendDoesNotReviveExpiredLease(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	h := NewHolder(DefaultOptions(), "entry", 1)
 	h.Extend(now, now.Add(time.Hour))
 	if h.Leased(now) {
 		t.Error("a holder without a lease got one")
 	}
-	h.Ask(now, Request{ID: 1, Contract: agreement("a", 9, 6000, 10), Tokens: 1})
+	h.Ask(now, Request{ID: 1, Contract: testContract("a", 9, 6000, 10), Tokens: 1})
 	r := h.Renewal(now, true)
 	h.Reply(now, Reply{Incarnation: 1, Number: r.Number, Epoch: 1, Accepted: true, Grants: []Grant{{Contract: "a", Share: Share{0, 0, 1, 1, 1}}}})
 	now = now.Add(h.options.Lease)
 	h.Extend(now, now.Add(time.Hour))
 	h.Tick(now)
 	if h.Leased(now) || h.accounts["a"].share != (Share{}) {
-		t.Error("a lease that had run out was prolonged")
+		t.Error("an expired lease was extended")
 	}
 }
 
-// Control is gone and a customer sends a request now and then. The credit for it
-// lies with the owner, so it is refused; but the customer has reached no limit,
-// and must not be told so.
-func TestNoClauseIsBlamedWithoutAnOwner(t *testing.T) {
+// Control is unreachable and a customer sends a request from time to time. The owner
+// holds the credit for it, so the request is refused, but the customer has reached no
+// limit and the refusal must not say that it has.
+func TestRefusalWithoutOwnerHasCauseNoLease(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	h := NewHolder(DefaultOptions(), "entry", 1)
-	agreed := agreement("a", 9, 6000, 10)
+	agreed := testContract("a", 9, 6000, 10)
 	h.Ask(now, Request{ID: 1, Contract: agreed, Tokens: 1})
 	r := h.Renewal(now, true)
 	h.Reply(now, Reply{Incarnation: 1, Number: r.Number, Epoch: 1, Accepted: true, Grants: []Grant{
--- a/coord/quota/scenario_test.go
+++ b/coord/quota/scenario_test.go
@@ -8,9 +8,9 @@
 	"github.com/rosemarypass/rosemarypass/coord/contract"
 )
 
-// The balancer sends nearly everything to one entry. A split of the contract by
-// entries would refuse three quarters of what the customer pays for.
-func TestUseOfTheContractWhateverTheBalance(t *testing.T) {
+// The balancer sends nearly all requests to one of four entries. An even split of the
+// contract among entries would refuse three quarters of what the contract allows.
+func TestContractIsUsedUnderAnyBalance(t *testing.T) {
 	const perMinute = 120_000
 	cases := []struct {
 		name    string
@@ -20,16 +20,16 @@
 		rate    float64
 		tokens  int64
 	}{
-		{"all on one of 4", agreement("a", 50, 1<<40, 1000), []float64{1}, 4, 100, 10},
-		{"97 of 100 on one of 4", agreement("a", 50, 1<<40, 1000), []float64{.97, .01, .01, .01}, 4, 100, 10},
-		{"even over 4", agreement("a", 50, 1<<40, 1000), nil, 4, 100, 10},
-		{"even over 40", agreement("a", 50, 1<<40, 1000), nil, 40, 100, 10},
-		{"few requests on one", agreement("a", 0.5, 1<<40, 1000), []float64{1}, 4, 2, 10},
-		{"few requests over 4", agreement("a", 0.5, 1<<40, 1000), nil, 4, 2, 10},
-		{"one a second over 370", agreement("a", 1, 1<<40, 1000), nil, 370, 3, 10},
-		{"tokens on one of 4", agreement("a", 1000, perMinute, 1000), []float64{1}, 4, 20, 400},
-		{"tokens over 4", agreement("a", 1000, perMinute, 1000), nil, 4, 20, 400},
-		{"large requests over 4", agreement("a", 1000, perMinute, 1000), nil, 4, 1, 23_000},
+		{"all on one of 4", testContract("a", 50, 1<<40, 1000), []float64{1}, 4, 100, 10},
+		{"97 of 100 on one of 4", testContract("a", 50, 1<<40, 1000), []float64{.97, .01, .01, .01}, 4, 100, 10},
+		{"even over 4", testContract("a", 50, 1<<40, 1000), nil, 4, 100, 10},
+		{"even over 40", testContract("a", 50, 1<<40, 1000), nil, 40, 100, 10},
+		{"few requests on one", testContract("a", 0.5, 1<<40, 1000), []float64{1}, 4, 2, 10},
+		{"few requests over 4", testContract("a", 0.5, 1<<40, 1000), nil, 4, 2, 10},
+		{"one a second over 370", testContract("a", 1, 1<<40, 1000), nil, 370, 3, 10},
+		{"tokens on one of 4", testContract("a", 1000, perMinute, 1000), []float64{1}, 4, 20, 400},
+		{"tokens over 4", testContract("a", 1000, perMinute, 1000), nil, 4, 20, 400},
+		{"large requests over 4", testContract("a", 1000, perMinute, 1000), nil, 4, 1, 23_000},
 	}
 	for _, c := range cases {
 		seconds := 60
@@ -46,11 +46,11 @@
 	}
 }
 
-// overload is a steady overload of one contract on 4 entries, during which
-// something happens.
+// overload simulates a steady overload of one contract on 4 entries, with events at
+// the given seconds.
 func overload(at map[int]func(*simulation)) *simulation {
 	return simulate(scenario{
-		entries: 4, agreed: []contract.Contract{agreement("a", 50, 1<<40, 1000)}, rate: 100, tokens: 10,
+		entries: 4, agreed: []contract.Contract{testContract("a", 50, 1<<40, 1000)}, rate: 100, tokens: 10,
 		run: 50 * time.Millisecond, seconds: 60, at: at,
 	})
 }
@@ -62,10 +62,10 @@
 	return total
 }
 
-// The control leader is lost and a new one is elected a second later. Entries
-// go on within the shares that they hold, and the new owner must not lease them
-// a second time.
-func TestOwnerChangeNeitherStopsNorOverGrants(t *testing.T) {
+// The control leader fails and a new one is elected a second later. Entries keep
+// admitting requests within their shares, and the new owner must not lease these a
+// second time.
+func TestOwnerChangeKeepsAdmittingWithinContract(t *testing.T) {
 	sim := overload(map[int]func(*simulation){
 		30: func(s *simulation) { s.down = true },
 		31: func(s *simulation) { s.down = false; s.newOwner(s.now) },
@@ -80,9 +80,9 @@
 	}
 }
 
-// An operator halves a contract under full load. The owner hears of it at once,
+// An operator halves a contract under full load. The owner learns of it immediately,
 // the entries a second later.
-func TestHalvedContractIsInForceWithTheFeed(t *testing.T) {
+func TestHalvedContractTakesEffectWithUpdate(t *testing.T) {
 	sim := overload(map[int]func(*simulation){
 		30: func(s *simulation) { s.contracts = map[string]contract.Contract{"a": halved(s.agreed[0])} },
 		31: func(s *simulation) { s.followed = s.contracts },
@@ -91,7 +91,7 @@
 	after := sum(sim.admittedAt[32:])
 	allowed := ideal(halved(sim.agreed[0]).Limits, 10, 28)
 	if float64(after) > allowed || float64(after) < 0.95*allowed-25 {
-		t.Errorf("%d admitted in the 28 s that begin a second after the entries heard, %v allowed", after, allowed)
+		t.Errorf("%d admitted in the 28 s from one second after the entries were updated, %v allowed", after, allowed)
 	}
 }
 
@@ -101,9 +101,9 @@
 	return agreed
 }
 
-// Entries crash and come back, one every 5 seconds. Each comes back with an
-// empty hand while its old share is still counted.
-func TestRestartedEntriesNeverAddToTheContract(t *testing.T) {
+// Entries crash and restart, one every 5 seconds. Each restarts without a share while
+// the owner still counts its old one.
+func TestRestartedEntriesStayWithinContract(t *testing.T) {
 	at := make(map[int]func(*simulation))
 	for second := 5; second < 60; second += 5 {
 		at[second] = func(s *simulation) { s.restart(second / 5 % s.entries) }
@@ -116,11 +116,11 @@
 	}
 }
 
-// A reply of an owner that has been replaced arrives after the holder has heard
-// of its successor.
-func TestHolderIgnoresAnOlderEpoch(t *testing.T) {
+// A reply of a replaced owner arrives after the holder has got a reply of its
+// successor.
+func TestHolderIgnoresOlderEpoch(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	agreed := agreement("a", 50, 6000, 10)
+	agreed := testContract("a", 50, 6000, 10)
 	h := NewHolder(DefaultOptions(), "entry", 1)
 	h.Ask(now, Request{ID: 1, Contract: agreed, Tokens: 1})
 	whole := Share{1, 1, 1, 1, 1}
@@ -133,15 +133,15 @@
 		h.Reply(now, Reply{Incarnation: 1, Number: r.Number, Epoch: epoch, Accepted: true, Grants: []Grant{grant}})
 	}
 	if got := h.accounts["a"].share; got != (Share{Slots: 0.1}) {
-		t.Errorf("the holder took the share %v of an older epoch", got)
+		t.Errorf("the holder accepted the share %v of an older epoch", got)
 	}
 }
 
-// A renewal that gives credit back is delivered again to an owner that has
-// begun since. It has no memory of the first copy.
-func TestReturnedCreditOfAnEarlierTenureIsLost(t *testing.T) {
+// A renewal that returns credit is delivered a second time, to a new owner, which
+// cannot know that the first copy was counted. The credit must not be counted twice.
+func TestReturnedCreditOfEarlierTenureIsIgnored(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	agreed := agreement("a", 50, 6000, 10)
+	agreed := testContract("a", 50, 6000, 10)
 	owner := NewOwner(DefaultOptions(), Tenure{Epoch: 2, Began: now}, func(string) (contract.Contract, bool) { return agreed, true })
 	renewal := Renewal{Holder: "entry", Incarnation: 1, Number: 1, Epoch: 1, Full: true, Holdings: []Holding{{Contract: "a", Returned: Credit{0.5, 0.5}, Busy: 0.1}}}
 	if reply := owner.Renew(now, renewal); !reply.Accepted {
@@ -152,11 +152,11 @@
 	}
 }
 
-// Nobody uses the contracts any more: they take no memory and no messages.
-func TestIdleContractsCostNothing(t *testing.T) {
+// Once contracts are no longer used, they take no memory and cause no messages.
+func TestIdleContractsUseNoResources(t *testing.T) {
 	var agreed []contract.Contract
 	for _, id := range []string{"a", "b", "c"} {
-		agreed = append(agreed, agreement(id, 50, 6000, 10))
+		agreed = append(agreed, testContract(id, 50, 6000, 10))
 	}
 	var messages int
 	sim := simulate(scenario{
@@ -179,14 +179,14 @@
 	}
 }
 
-// One caller sends its next request when it has the answer to the last one. Its
-// rate is what its entry lets through, so a lease by the measured rate would hold
-// it where it is: it would see a delay at every call under a contract that is idle.
-func TestLoneCallerOfAnIdleContractDoesNotWait(t *testing.T) {
-	for _, agreed := range []contract.Contract{agreement("a", 1_000_000, 1e12, 10_000), agreement("a", 1000, 1e9, 100)} {
+// One caller sends each request after the answer to the previous one, so its rate is
+// what its entry admits. A lease by the measured rate would keep that rate where it
+// is, and the caller would see a delay at every call although the contract is idle.
+func TestSingleCallerOfIdleContractDoesNotWait(t *testing.T) {
+	for _, agreed := range []contract.Contract{testContract("a", 1_000_000, 1e12, 10_000), testContract("a", 1000, 1e9, 100)} {
 		sim := simulate(scenario{
 			entries: 1, agreed: []contract.Contract{agreed}, tokens: 260, run: time.Millisecond, seconds: 6,
-			at: map[int]func(*simulation){0: callInTurn},
+			at: map[int]func(*simulation){0: sendSequentially},
 		})
 		settled := sum(sim.admittedAt[:2])
 		var waited time.Duration
@@ -196,7 +196,7 @@
 		mean := waited / time.Duration(len(sim.waits)-settled)
 		t.Logf("%v requests a second: admitted %v, waited %v on average from second 2 on, %d messages", agreed.Limits.RequestsPerSecond, sim.admittedAt, mean, sim.messages)
 		if mean > 100*time.Microsecond {
-			t.Errorf("a lone caller waits %v for each request", mean)
+			t.Errorf("a single caller waits %v for each request", mean)
 		}
 		if sim.messages > 60 {
 			t.Errorf("%d messages in 6 s for one caller", sim.messages)
@@ -204,23 +204,23 @@
 	}
 }
 
-// callInTurn sends a request whenever the last one has ended.
-func callInTurn(s *simulation) {
+// sendSequentially sends a request whenever the previous one has ended.
+func sendSequentially(s *simulation) {
 	if _, waits := s.holders[0].queued[s.nextID]; !waits {
 		if _, runs := s.holders[0].admitted[s.nextID]; !runs {
 			s.arrive()
 		}
 	}
-	s.after(simTick, func() { callInTurn(s) })
+	s.after(simTick, func() { sendSequentially(s) })
 }
 
-// All disks of control are lost, the log is founded anew, and an operator
-// creates the customer's contract again at once. An entry still uses its share
-// of the lost log for 2 s; a second share of the same contract would let the
-// customer run twice what it pays for.
-func TestAContractOfANewLogWaitsForSharesOfTheLostOne(t *testing.T) {
+// All disks of control are lost, the log is founded anew, and an operator immediately
+// recreates the customer's contract. An entry keeps using its share from the lost log
+// for up to 2 s, so a second share of the same contract would let the customer run
+// twice what the contract allows.
+func TestRecreatedContractWaitsForLeasesOfLostLog(t *testing.T) {
 	began := time.Unix(1000, 0)
-	agreed := agreement("dabke", 50, 6000, 10)
+	agreed := testContract("dabke", 50, 6000, 10)
 	agreed.Created = 5
 	owner := NewOwner(DefaultOptions(), Tenure{Epoch: 1, Index: 1, Began: began}, func(string) (contract.Contract, bool) { return agreed, true })
 	granted := func(after time.Duration, number uint64) float64 {
@@ -233,9 +233,9 @@
 	options := DefaultOptions()
 	wait := options.Lease + options.Margin
 	if early := granted(wait-time.Millisecond, 1); early != 0 {
-		t.Errorf("granted %v of the slots while a lost log's leases may run", early)
+		t.Errorf("granted %v of the slots while leases of the lost log may be valid", early)
 	}
 	if late := granted(wait, 2); late != 1 {
-		t.Errorf("granted %v of the slots once they have run out, want all", late)
+		t.Errorf("granted %v of the slots after they have expired, want all", late)
 	}
 }
--- a/coord/quota/sim_test.go
+++ b/coord/quota/sim_test.go
@@ -10,7 +10,7 @@
 	"github.com/rosemarypass/rosemarypass/coord/contract"
 )
 
-// Timing of the simulated entries; the daemons use the same intervals.
+// Intervals of the simulated entries. They are those of the daemons.
 const (
 	simTick        = time.Millisecond
 	simLatency     = time.Millisecond
@@ -19,19 +19,21 @@
 	expireInterval = 100 * time.Millisecond
 )
 
-// scenario is a seeded load on entries under virtual time.
+// scenario is a pseudo-random load on entries in simulated time, with a fixed seed.
 type scenario struct {
 	entries int
 	agreed  []contract.Contract
-	// rate is the offered requests a second, weights how likely an entry is.
+	// rate is the number of offered requests per second, weights the probability
+	// of each entry.
 	rate    float64
 	weights []float64
 	tokens  int64
 	run     time.Duration
 	seconds int
-	// at are events by their second.
+	// at are events by the second at which they happen.
 	at map[int]func(*simulation)
-	// measure counts the bytes of messages and the owner's time.
+	// measure enables counting message bytes and the time spent on encoding and
+	// decoding them.
 	measure bool
 }
 
@@ -43,33 +45,33 @@
 	owner     *Owner
 	epoch     uint64
 	contracts map[string]contract.Contract
-	// followed is what the entries know of the contracts.
-	followed map[string]contract.Contract
-	holders  []*simHolder
-	events   eventQueue
-	nextID   RequestID
-	down     bool
-	expired  time.Time
+	// followed are the contracts as the entries know them.
+	followed  map[string]contract.Contract
+	holders   []*simHolder
+	events    eventQueue
+	nextID    RequestID
+	down      bool
+	expiredAt time.Time
 
 	offered, admitted, refused int
 	admittedAt                 []int
 	waits                      []time.Duration
 	messages, bytes            int
 	ownerTime                  time.Duration
-	// codecTime is what the owner spends on messages, entryTime what all
-	// entries spend on decisions and messages.
+	// codecTime is the owner's time for encoding and decoding messages,
+	// entryTime that of all entries for decisions and messages.
 	codecTime, entryTime time.Duration
 	// offeredTo counts the requests offered to each entry.
 	offeredTo map[int]int
-	// admittedBy counts the requests that each entry admitted, admittedID
-	// tells when each was.
+	// admittedBy counts the requests that each entry admitted, admittedID is
+	// the time at which each request was admitted.
 	admittedBy map[int]int
 	admittedID map[RequestID]time.Time
 }
 
 type simHolder struct {
 	*Holder
-	next time.Time
+	nextRenewal time.Time
 }
 
 type event struct {
@@ -135,11 +137,11 @@
 	for len(s.events) > 0 && !s.events[0].at.After(s.now) {
 		heap.Pop(&s.events).(event).do()
 	}
-	if s.owner != nil && s.now.Sub(s.expired) >= expireInterval {
+	if s.owner != nil && s.now.Sub(s.expiredAt) >= expireInterval {
 		begin := time.Now()
 		s.owner.Expire(s.now)
 		s.ownerTime += time.Since(begin)
-		s.expired = s.now
+		s.expiredAt = s.now
 	}
 	for n := s.arrivals(); n > 0; n-- {
 		s.arrive()
@@ -148,13 +150,13 @@
 		if due, ok := h.NextTick(s.now); ok && !due.After(s.now) {
 			s.act(i, h.Tick(s.now))
 		}
-		if h.InUse() > 0 && h.pending == 0 && (h.Urgent(s.now) || !h.next.After(s.now)) {
+		if h.InUse() > 0 && h.pending == 0 && (h.Urgent(s.now) || !h.nextRenewal.After(s.now)) {
 			s.renew(i, h)
 		}
 	}
 }
 
-// arrivals draws the number of requests in one tick.
+// arrivals returns a random number of requests for one tick.
 func (s *simulation) arrivals() int {
 	mean := s.rate * simTick.Seconds()
 	n := int(mean)
@@ -204,15 +206,15 @@
 }
 
 func (s *simulation) renew(i int, h *simHolder) {
-	all := !h.next.After(s.now)
+	all := !h.nextRenewal.After(s.now)
 	if all {
-		h.next = s.now.Add(idleInterval)
+		h.nextRenewal = s.now.Add(idleInterval)
 	}
 	begin := time.Now()
 	renewal := h.Renewal(s.now, all)
 	s.entryTime += time.Since(begin)
 	s.messages++
-	s.carry(renewal, new(Renewal), &s.entryTime, &s.codecTime)
+	s.measureMessage(renewal, new(Renewal), &s.entryTime, &s.codecTime)
 	s.after(simLatency, func() {
 		if s.down {
 			h.Lost()
@@ -221,21 +223,22 @@
 		begin := time.Now()
 		reply := s.owner.Renew(s.now, renewal)
 		s.ownerTime += time.Since(begin)
-		s.carry(reply, new(Reply), &s.codecTime, &s.entryTime)
+		s.measureMessage(reply, new(Reply), &s.codecTime, &s.entryTime)
 		s.after(simLatency, func() {
 			begin := time.Now()
 			actions := h.Reply(s.now, reply)
 			s.entryTime += time.Since(begin)
-			if soon := s.now.Add(shortInterval); soon.Before(h.next) && h.Short() {
-				h.next = soon
+			if soon := s.now.Add(shortInterval); soon.Before(h.nextRenewal) && h.Short() {
+				h.nextRenewal = soon
 			}
 			s.act(i, actions)
 		})
 	})
 }
 
-// carry adds up what a message takes on the wire and at either end.
-func (s *simulation) carry(message, into any, sender, receiver *time.Duration) {
+// measureMessage adds the size of a message, and the times for encoding it at the
+// sender and decoding it at the receiver.
+func (s *simulation) measureMessage(message, into any, sender, receiver *time.Duration) {
 	if !s.measure {
 		return
 	}
@@ -258,13 +261,14 @@
 	s.holders[i] = &simHolder{Holder: NewHolder(DefaultOptions(), h.name, h.incarnation+1)}
 }
 
-func agreement(id string, rate float64, tokens int64, slots int) contract.Contract {
+func testContract(id string, rate float64, tokens int64, slots int) contract.Contract {
 	return contract.Contract{ID: id, Revision: 1, Share: 1, Limits: contract.Limits{
 		RequestsPerSecond: rate, TokensPerMinute: tokens, Concurrency: slots, MaxWait: 2 * time.Second,
 	}}
 }
 
-// ideal is what one bucket for all entries would admit in a steady overload.
+// ideal returns the number of requests that one bucket for all entries would admit in
+// a steady overload.
 func ideal(limits contract.Limits, tokens int64, seconds int) float64 {
 	admitted := capacity(requestBucket, limits) + refill(requestBucket, limits)*float64(seconds)
 	if tokens > 0 {
