--- a/coord/slots/example_test.go
+++ b/coord/slots/example_test.go
@@ -8,8 +8,8 @@
 	"github.com/rosemarypass/rosemarypass/coord/slots"
 )
 
-// A request comes for an adapter that the engine doesn't hold. The table asks
-// for a permit, orders the load, and lets the request run once it is there.
+// A request arrives for an adapter that the engine has not loaded. The table asks for
+// a permit, orders the load, and starts the request when the adapter is loaded.
 func Example() {
 	now := time.Unix(1_000, 0)
 	table := slots.NewTable(slots.Options{Slots: 2, Queue: 8})
--- a/coord/slots/plan.go
+++ b/coord/slots/plan.go
@@ -7,12 +7,12 @@
 	"github.com/rosemarypass/rosemarypass/coord/catalogue"
 )
 
-// plan moves every waiting adapter as far as slots and permits allow, in order
-// of arrival.
+// plan advances pending loads in order of arrival, as far as slots and permits
+// allow.
 func (t *Table) plan(now time.Time) []Action {
-	actions := t.useGranted(now)
+	actions := t.startGranted(now)
 	room := t.obtainable()
-	for _, w := range t.wants {
+	for _, w := range t.pending {
 		if w.order != 0 {
 			continue
 		}
@@ -29,18 +29,18 @@
 	return append(actions, t.preventStarvation(now)...)
 }
 
-// useGranted starts permitted loads in free slots, and frees idle slots for
-// those that remain. A permit without a slot goes back, so that another server
-// can use the weight store meanwhile.
-func (t *Table) useGranted(now time.Time) []Action {
+// startGranted starts permitted loads in free slots and unloads idle adapters for the
+// remaining ones. A permit without a slot is returned, so that another server can use
+// the weight store in the meantime.
+func (t *Table) startGranted(now time.Time) []Action {
 	var actions []Action
 	unloading := t.count(phaseUnloading)
-	for _, w := range t.wants {
+	for _, w := range t.pending {
 		if !w.granted {
 			continue
 		}
 		if len(t.slots) < t.options.Slots {
-			t.slots[w.ref] = &slot{phase: phaseLoading, order: w.order, ordered: now}
+			t.slots[w.ref] = &slot{phase: phaseLoading, order: w.order, orderedAt: now}
 			actions = append(actions, Load{Order: w.order, Ref: w.ref})
 			w.order, w.granted = 0, false
 			continue
@@ -60,8 +60,8 @@
 	return actions
 }
 
-// obtainable counts slots that are free, about to be free, or idle, beyond
-// those that asked permits will use.
+// obtainable returns the number of slots that are free, being freed, or idle, minus
+// those needed for requested permits.
 func (t *Table) obtainable() int {
 	n := t.options.Slots - len(t.slots) + t.count(phaseUnloading)
 	for ref, s := range t.slots {
@@ -69,7 +69,7 @@
 			n++
 		}
 	}
-	for _, w := range t.wants {
+	for _, w := range t.pending {
 		if w.order != 0 {
 			n--
 		}
@@ -78,26 +78,26 @@
 }
 
 func (t *Table) evictable(ref catalogue.Ref, s *slot) bool {
-	return s.idle() && (s.closed || t.wantOf(ref) == nil)
+	return s.idle() && (s.closed || t.pendingFor(ref) == nil)
 }
 
 func (t *Table) unload(ref catalogue.Ref, s *slot, now time.Time) Action {
-	s.phase, s.order, s.ordered = phaseUnloading, t.newOrder(), now
+	s.phase, s.order, s.orderedAt = phaseUnloading, t.newOrder(), now
 	return Unload{Order: s.order, Ref: ref}
 }
 
-// preventStarvation closes a slot for a while. Popular adapters that always
-// have a request running would hold every slot for ever, and a request for
-// another adapter would time out with its caller none the wiser; so after
-// Patience the least used pinned slot takes no new requests until it has been
-// reused. A wait for a permit is no reason: taking slots then only adds loads
-// to a store that has too many.
+// preventStarvation closes a slot to new requests if an adapter has waited for
+// Patience. Popular adapters with requests always running would otherwise hold every
+// slot indefinitely, and requests for other adapters would time out without a stated
+// reason. The least valuable slot stays closed until it is reused or no longer needed.
+// Waiting for a permit does not count while a slot is free or can be freed: more
+// slots would only add loads to an overloaded weight store.
 func (t *Table) preventStarvation(now time.Time) []Action {
 	starving := t.starving(now) && !t.hasRoom()
-	closed, isClosed := t.least(now, func(_ catalogue.Ref, s *slot) bool { return s.closed && s.phase == phaseLoaded })
+	closed, isClosed := t.leastValuable(now, func(_ catalogue.Ref, s *slot) bool { return s.closed && s.phase == phaseLoaded })
 	switch {
 	case starving && !isClosed:
-		ref, ok := t.least(now, func(_ catalogue.Ref, s *slot) bool { return s.phase == phaseLoaded && !s.foreign })
+		ref, ok := t.leastValuable(now, func(_ catalogue.Ref, s *slot) bool { return s.phase == phaseLoaded && !s.foreign })
 		if ok {
 			t.slots[ref].closed = true
 		}
@@ -110,7 +110,7 @@
 }
 
 func (t *Table) starving(now time.Time) bool {
-	for _, w := range t.wants {
+	for _, w := range t.pending {
 		if _, present := t.slots[w.ref]; !present && now.Sub(w.since) >= t.options.Patience {
 			return true
 		}
@@ -118,7 +118,7 @@
 	return false
 }
 
-// hasRoom tells whether any slot but a closed one is free or can be freed.
+// hasRoom reports whether any slot other than a closed one is free or can be freed.
 func (t *Table) hasRoom() bool {
 	if len(t.slots) < t.options.Slots {
 		return true
@@ -141,12 +141,12 @@
 	return n
 }
 
-// victim chooses the idle adapter to unload.
+// victim returns the idle adapter to unload next, if any.
 func (t *Table) victim(now time.Time) (catalogue.Ref, bool) {
-	return t.least(now, t.evictable)
+	return t.leastValuable(now, t.evictable)
 }
 
-func (t *Table) least(now time.Time, match func(catalogue.Ref, *slot) bool) (catalogue.Ref, bool) {
+func (t *Table) leastValuable(now time.Time, match func(catalogue.Ref, *slot) bool) (catalogue.Ref, bool) {
 	best, found := catalogue.Ref{}, false
 	for ref, s := range t.slots {
 		if match(ref, s) && (!found || t.lessValuable(ref, best, now)) {
--- a/coord/slots/report.go
+++ b/coord/slots/report.go
@@ -7,23 +7,23 @@
 	"github.com/rosemarypass/rosemarypass/coord/catalogue"
 )
 
-// Report is what a table tells about itself.
+// Report describes the state of a table.
 type Report struct {
-	// Resident and Loading are adapters, sorted.
+	// Resident are the loaded adapters and Loading those being loaded, sorted.
 	Resident []catalogue.Ref
 	Loading  []catalogue.Ref
-	// Obtainable counts the slots that another adapter could get now.
+	// Obtainable is the number of slots that further adapters could get now.
 	Obtainable int
 	// VictimUse is the decayed use of the adapter that the next load would
-	// evict, rounded to a power of two so that its decay is not news all the
-	// time; 0 when a slot is free.
+	// evict, or 0 if a slot is free. It is rounded to a power of two so that
+	// its decay does not change the report all the time.
 	VictimUse float64
-	// Running and Waiting count requests.
+	// Running and Waiting are numbers of requests.
 	Running int
 	Waiting int
 }
 
-// Report describes the table.
+// Report returns the state of the table.
 func (t *Table) Report(now time.Time) Report {
 	r := Report{Running: len(t.running), Waiting: t.waiting, Obtainable: max(t.obtainable(), 0)}
 	for _, ref := range t.refs() {
@@ -36,17 +36,17 @@
 	}
 	if len(t.slots) == t.options.Slots {
 		if victim, ok := t.victim(now); ok {
-			r.VictimUse = roundToPower(t.usage.use(victim, now))
+			r.VictimUse = roundToPowerOfTwo(t.usage.use(victim, now))
 		}
 	}
 	return r
 }
 
-// leastUse is the use below which an adapter counts as unused.
-const leastUse = 0.25
+// minUse is the use below which an adapter counts as unused.
+const minUse = 0.25
 
-func roundToPower(use float64) float64 {
-	if use < leastUse {
+func roundToPowerOfTwo(use float64) float64 {
+	if use < minUse {
 		return 0
 	}
 	return math.Exp2(math.Round(math.Log2(use)))
--- a/coord/slots/slots.go
+++ b/coord/slots/slots.go
@@ -1,14 +1,15 @@
-// Package slots decides which adapters occupy an engine's few adapter slots.
+// Package slots decides which adapters occupy an engine's limited adapter slots.
 //
-// Table is a pure state machine: typed events go in with the time, typed
-// actions come out, and the owner performs the actions and feeds their results
-// back. It never evicts an adapter that serves a request (a pinned adapter),
-// asks for each adapter at most one load at a time however many requests wait
-// for it, and loads only with a permit of the site's load broker.
+// Table is a pure state machine: it takes typed events with the current time and
+// returns typed actions. Its owner performs the actions and passes the results
+// back as events. The table never evicts an adapter that serves a request (a
+// pinned adapter), has at most one load per adapter in progress regardless of the
+// number of waiting requests, and loads only with a permit from the site's load
+// broker.
 //
-// Every load and unload carries an order number that is never used twice. A
-// result that names an order the table no longer knows is ignored, so that the
-// late end of an order to a dead engine incarnation cannot corrupt the table.
+// Every load and unload carries a unique order number. A result with an order that
+// the table no longer knows is ignored, so that a delayed result from a dead engine
+// incarnation cannot corrupt the table.
 package slots
 
 import (
@@ -22,33 +23,33 @@
 // RequestID identifies a request within one table.
 type RequestID uint64
 
-// OrderID identifies one load or unload; it is never used twice in a table.
+// OrderID identifies one load or unload. It is unique within a table.
 type OrderID uint64
 
-// Action is something that the owner of the table must do.
+// Action is an instruction to the owner of the table.
 type Action interface{ action() }
 
-// Start lets a waiting request run; its adapter stays pinned until Release.
+// Start lets a waiting request run. Its adapter stays pinned until Release.
 type Start struct{ Request RequestID }
 
-// Refuse ends a waiting request that never ran.
+// Refuse rejects a request that has not run.
 type Refuse struct {
 	Request RequestID
 	Reason  Reason
 }
 
-// Ask requests a permit to load; the owner answers with Granted. An Ask with
+// Ask requests a permit to load, which the owner reports with Granted. An Ask with
 // the order of an earlier one updates it.
 type Ask struct {
 	Order OrderID
 	Ref   catalogue.Ref
-	// Demand is the sum of the weights of the requests that wait for it now.
+	// Demand is the sum of the weights of the requests waiting for the adapter.
 	Demand float64
-	// Since is when the first of them came.
+	// Since is when the first of them arrived.
 	Since time.Time
 }
 
-// Return gives an asked or granted permit back.
+// Return gives back a requested or granted permit.
 type Return struct{ Order OrderID }
 
 // Load orders the engine to load an adapter into a free slot.
@@ -70,43 +71,44 @@
 func (Load) action()   {}
 func (Unload) action() {}
 
-// Reason says why a request was refused.
+// Reason is the reason for a refusal.
 type Reason string
 
 const (
-	// ReasonQueueFull means that the bounded wait queue had no room.
+	// ReasonQueueFull means that the wait queue was full.
 	ReasonQueueFull Reason = "queue_full"
-	// ReasonNoSlot means that every slot serves requests or is spoken for, and
-	// that the request would rather go elsewhere than wait.
+	// ReasonNoSlot means that every slot serves requests or is reserved, and
+	// that the request is not to wait for one.
 	ReasonNoSlot Reason = "no_slot"
 	// ReasonLoadFailed means that the engine could not load the adapter.
 	ReasonLoadFailed Reason = "load_failed"
-	// ReasonEngineRestarted means that the engine lost its adapters before the request ran.
+	// ReasonEngineRestarted means that the engine restarted, and so lost its
+	// adapters, before the request ran.
 	ReasonEngineRestarted Reason = "engine_restarted"
 )
 
-// Eviction names the rule that chooses which idle adapter to unload.
+// Eviction is the policy for choosing which idle adapter to unload.
 type Eviction uint8
 
 const (
-	// EvictLeastValuable unloads the adapter with the lowest decayed use
-	// times its load time.
+	// EvictLeastValuable unloads the adapter with the lowest product of decayed
+	// use and load time.
 	EvictLeastValuable Eviction = iota
 	// EvictLeastRecent unloads the least recently used adapter.
 	EvictLeastRecent
 )
 
-// Options bound a table. Zero durations take the package's defaults.
+// Options configure a table. Zero durations select the defaults.
 type Options struct {
 	// Slots is the number of adapters that the engine holds at once.
 	Slots int
-	// Queue is the most requests that may wait.
+	// Queue is the maximum number of waiting requests.
 	Queue    int
 	Eviction Eviction
 	// HalfLife is the time in which an adapter's past use loses half its weight.
 	HalfLife time.Duration
-	// Patience is how long an adapter may wait while every slot is pinned
-	// before one slot stops taking new requests for its sake.
+	// Patience is how long an adapter waits while every slot is pinned before
+	// one slot is closed to new requests to make room for it.
 	Patience time.Duration
 	// RetryMin and RetryMax bound the pause after failed loads of an adapter.
 	RetryMin time.Duration
@@ -132,12 +134,15 @@
 	phase phase
 	order OrderID
 	pins  int
-	// foreign is true while requests of an earlier agent may run on it.
+	// foreign is true while requests of an earlier agent process may run on
+	// the adapter.
 	foreign bool
-	// closed is true while new requests must wait, so that a slot frees.
+	// closed is true while new requests must wait so that the slot becomes
+	// free.
 	closed   bool
 	lastUsed uint64
-	ordered  time.Time
+	// orderedAt is when the last load or unload was ordered or failed.
+	orderedAt time.Time
 }
 
 func (s *slot) idle() bool { return s.phase == phaseLoaded && s.pins == 0 && !s.foreign }
@@ -147,19 +152,20 @@
 	weight  float64
 }
 
-// want is the demand for one adapter that is not loaded.
-type want struct {
+// pendingLoad is the demand for one adapter that is not loaded.
+type pendingLoad struct {
 	ref     catalogue.Ref
 	waiters []waiter
 	since   time.Time
-	// order is the asked permit, 0 when none is asked.
+	// order is the requested permit, or 0 if none is requested.
 	order   OrderID
 	granted bool
-	// full is true once the engine refused a load for want of a slot.
-	full bool
+	// engineFull is true after the engine refused a load because it had no
+	// free slot.
+	engineFull bool
 }
 
-func (w *want) ask() Ask {
+func (w *pendingLoad) ask() Ask {
 	a := Ask{Order: w.order, Ref: w.ref, Since: w.since}
 	for _, waiting := range w.waiters {
 		a.Demand += waiting.weight
@@ -167,15 +173,17 @@
 	return a
 }
 
-// Table is the slot table of one engine. One duty owns it.
+// Table is the slot table of one engine. It is not safe for concurrent use: a single
+// duty uses it.
 type Table struct {
-	options   Options
-	slots     map[catalogue.Ref]*slot
-	wants     []*want
-	waiting   int
-	running   map[RequestID]*slot
-	usage     *usage
-	failures  map[catalogue.Ref]failure
+	options  Options
+	slots    map[catalogue.Ref]*slot
+	pending  []*pendingLoad
+	waiting  int
+	running  map[RequestID]*slot
+	usage    *usage
+	failures map[catalogue.Ref]failure
+	// clock is a logical clock that counts started requests.
 	clock     uint64
 	lastOrder OrderID
 }
@@ -190,23 +198,24 @@
 		options:  options,
 		slots:    make(map[catalogue.Ref]*slot),
 		running:  make(map[RequestID]*slot),
-		usage:    newUsage(options.HalfLife, options.Slots*ghostsPerSlot),
+		usage:    newUsage(options.HalfLife, options.Slots*trackedPerSlot),
 		failures: make(map[catalogue.Ref]failure),
 	}
 }
 
-// Claim is what a request asks of a table.
+// Claim is a request's claim to a slot.
 type Claim struct {
 	Request RequestID
 	Ref     catalogue.Ref
-	// Weight, such as that of the request's contract, counts when loads are scarce.
+	// Weight, such as that of the request's contract, sets the priority of the
+	// load when permits are scarce.
 	Weight float64
-	// Patient requests wait for a slot however long it takes; others are
-	// refused when none can be had now, so that they can go elsewhere.
+	// Patient requests wait for a slot without a time limit. Others are refused
+	// if none is obtainable now, so that they can be sent elsewhere.
 	Patient bool
 }
 
-// Request asks to run a request on an adapter.
+// Request starts, queues or refuses a request.
 func (t *Table) Request(claim Claim, now time.Time) []Action {
 	id, ref, weight := claim.Request, claim.Ref, claim.Weight
 	t.usage.touch(ref, now)
@@ -219,15 +228,15 @@
 	if t.waiting >= t.options.Queue {
 		return []Action{Refuse{Request: id, Reason: ReasonQueueFull}}
 	}
-	w := t.wantOf(ref)
+	w := t.pendingFor(ref)
 	_, present := t.slots[ref]
 	if w == nil && !present && !claim.Patient && t.obtainable() <= 0 {
 		return []Action{Refuse{Request: id, Reason: ReasonNoSlot}}
 	}
 	t.waiting++
 	if w == nil {
-		w = &want{ref: ref, since: now}
-		t.wants = append(t.wants, w)
+		w = &pendingLoad{ref: ref, since: now}
+		t.pending = append(t.pending, w)
 	}
 	w.waiters = append(w.waiters, waiter{request: id, weight: weight})
 	if w.order != 0 && !w.granted {
@@ -236,9 +245,9 @@
 	return t.plan(now)
 }
 
-// Cancel forgets a request that still waits. A running request is unaffected.
+// Cancel removes a waiting request. It does not affect a running one.
 func (t *Table) Cancel(id RequestID, now time.Time) []Action {
-	for _, w := range t.wants {
+	for _, w := range t.pending {
 		i := slices.IndexFunc(w.waiters, func(waiting waiter) bool { return waiting.request == id })
 		if i < 0 {
 			continue
@@ -264,43 +273,43 @@
 	return t.plan(now)
 }
 
-// Granted reports that the broker permits a load. A grant may come twice; were
-// the second answered with a Return, the permit of a load under way would go
-// to another server and this one's load be given up.
+// Granted reports that the broker permits a load. A grant may arrive twice. The
+// second must not be answered with a Return, because the permit of the load in
+// progress would then go to another server.
 func (t *Table) Granted(order OrderID, now time.Time) []Action {
-	if _, s := t.ordered(order, phaseLoading); s != nil {
+	if _, s := t.slotByOrder(order, phaseLoading); s != nil {
 		return nil
 	}
-	i := slices.IndexFunc(t.wants, func(w *want) bool { return w.order == order })
-	if i >= 0 && t.wants[i].granted {
+	i := slices.IndexFunc(t.pending, func(w *pendingLoad) bool { return w.order == order })
+	if i >= 0 && t.pending[i].granted {
 		return nil
 	}
 	if i < 0 {
 		return []Action{Return{Order: order}}
 	}
-	t.wants[i].granted = true
+	t.pending[i].granted = true
 	return t.plan(now)
 }
 
 // Loaded reports that the engine finished a load.
 func (t *Table) Loaded(order OrderID, now time.Time) []Action {
-	ref, s := t.ordered(order, phaseLoading)
+	ref, s := t.slotByOrder(order, phaseLoading)
 	if s == nil {
 		return nil
 	}
 	s.phase = phaseLoaded
 	delete(t.failures, ref)
-	t.usage.loaded(ref, now.Sub(s.ordered))
+	t.usage.recordLoad(ref, now.Sub(s.orderedAt))
 	actions := []Action{Return{Order: order}}
 	return append(append(actions, t.startWaiters(ref, s)...), t.plan(now)...)
 }
 
-// LoadFailed reports that a load did not succeed. Requests that waited for the
-// adapter are refused at once, so that they can go elsewhere. When the engine
-// may yet finish the load, as after a timeout, absent is false and the slot
-// stays taken until an unload has made sure.
+// LoadFailed reports that a load failed. Requests that waited for the adapter are
+// refused immediately, so that they can be sent elsewhere. If the engine may still
+// finish the load, as after a timeout, absent must be false: the slot then stays
+// taken until an unload is confirmed.
 func (t *Table) LoadFailed(order OrderID, absent bool, now time.Time) []Action {
-	ref, s := t.ordered(order, phaseLoading)
+	ref, s := t.slotByOrder(order, phaseLoading)
 	if s == nil {
 		return nil
 	}
@@ -315,27 +324,27 @@
 	return append(actions, t.plan(now)...)
 }
 
-// LoadFull reports that the engine refused a load for want of a slot: it holds
-// adapters that the table did not know, which must have been adopted before.
-// Requests that wait for the adapter go on waiting, as their load has nothing
-// wrong with it; a second refusal counts as a failure.
+// LoadFull reports that the engine refused a load because it has no free slot: it
+// holds adapters unknown to the table. The caller must have passed these to Adopt
+// first. Requests keep waiting for the adapter, as the load itself is not faulty. A
+// second refusal counts as a failure.
 func (t *Table) LoadFull(order OrderID, now time.Time) []Action {
-	ref, s := t.ordered(order, phaseLoading)
+	ref, s := t.slotByOrder(order, phaseLoading)
 	if s == nil {
 		return nil
 	}
-	w := t.wantOf(ref)
-	if w == nil || w.full {
+	w := t.pendingFor(ref)
+	if w == nil || w.engineFull {
 		return t.LoadFailed(order, true, now)
 	}
-	w.full = true
+	w.engineFull = true
 	delete(t.slots, ref)
 	return append([]Action{Return{Order: order}}, t.plan(now)...)
 }
 
-// Unloaded reports that the engine freed a slot.
+// Unloaded reports that the engine has freed a slot.
 func (t *Table) Unloaded(order OrderID, now time.Time) []Action {
-	ref, s := t.ordered(order, phaseUnloading)
+	ref, s := t.slotByOrder(order, phaseUnloading)
 	if s == nil {
 		return nil
 	}
@@ -343,24 +352,24 @@
 	return t.plan(now)
 }
 
-// UnloadFailed reports that the engine did not confirm an unload. The slot
-// counts as taken, else a load would be ordered into a full engine; Tick
-// orders the unload again after RetryMin.
+// UnloadFailed reports that the engine did not confirm an unload. The slot stays
+// taken, as a load might otherwise be ordered into a full engine. Tick orders the
+// unload again after RetryMin.
 func (t *Table) UnloadFailed(order OrderID, now time.Time) []Action {
-	if _, s := t.ordered(order, phaseUnloading); s != nil {
+	if _, s := t.slotByOrder(order, phaseUnloading); s != nil {
 		s.order = 0
-		s.ordered = now
+		s.orderedAt = now
 	}
 	return nil
 }
 
-// Tick repeats unconfirmed unloads, ends back-offs and frees a slot for
-// adapters that have waited too long. Call it a few times a second.
+// Tick repeats unconfirmed unloads, drops ended backoffs and frees a slot for
+// adapters that have waited too long. It must be called several times per second.
 func (t *Table) Tick(now time.Time) []Action {
 	var actions []Action
 	for _, ref := range t.refs() {
 		s := t.slots[ref]
-		if s.phase == phaseUnloading && s.order == 0 && now.Sub(s.ordered) >= t.options.RetryMin {
+		if s.phase == phaseUnloading && s.order == 0 && now.Sub(s.orderedAt) >= t.options.RetryMin {
 			actions = append(actions, t.unload(ref, s, now))
 		}
 	}
@@ -368,7 +377,7 @@
 	return append(actions, t.plan(now)...)
 }
 
-// EngineRestarted empties the table: a restarted engine holds no adapters.
+// EngineRestarted empties the table, because a restarted engine holds no adapters.
 func (t *Table) EngineRestarted() []Action {
 	var actions []Action
 	for _, ref := range t.refs() {
@@ -378,14 +387,14 @@
 	}
 	clear(t.slots)
 	clear(t.running)
-	for len(t.wants) > 0 {
-		actions = append(actions, t.refuseWaiters(ReasonEngineRestarted, t.wants[0].ref)...)
+	for len(t.pending) > 0 {
+		actions = append(actions, t.refuseWaiters(ReasonEngineRestarted, t.pending[0].ref)...)
 	}
 	return actions
 }
 
-// Lost reports that the engine denied having an adapter that the table counts
-// as loaded. Without this every request for it would be sent there in vain.
+// Lost reports that the engine does not have an adapter that the table counts as
+// loaded. Otherwise every request for it would be sent to the engine and fail.
 func (t *Table) Lost(ref catalogue.Ref, now time.Time) []Action {
 	if s, ok := t.slots[ref]; ok && s.phase == phaseLoaded {
 		delete(t.slots, ref)
@@ -393,19 +402,19 @@
 	return t.plan(now)
 }
 
-// Adopt records an adapter that the engine already held when its agent
-// started. Without this a restarted agent would order loads into full slots.
-// While inUse is true, requests of the earlier agent may still run on it, and
-// it is not evicted until InUse says otherwise.
+// Adopt records an adapter that the engine already held when its agent started.
+// Otherwise a restarted agent would order loads into full slots. If inUse is true,
+// requests of the earlier agent may still run on the adapter, and it is not evicted
+// until InUse reports that it is no longer in use.
 func (t *Table) Adopt(ref catalogue.Ref, inUse bool) {
 	if _, known := t.slots[ref]; !known {
 		t.slots[ref] = &slot{phase: phaseLoaded, foreign: inUse}
 	}
 }
 
-// InUse takes the engine's word on which adapters serve requests. Requests of
-// an earlier agent only ever end, so a report that lags keeps an adapter
-// longer than needed and never frees one too early.
+// InUse reports which adapters serve requests according to the engine. No new
+// requests of an earlier agent can start, so an outdated report keeps an adapter
+// longer than needed but never frees one too early.
 func (t *Table) InUse(refs []catalogue.Ref, now time.Time) []Action {
 	for ref, s := range t.slots {
 		if s.foreign && !slices.Contains(refs, ref) {
@@ -424,7 +433,7 @@
 }
 
 func (t *Table) startWaiters(ref catalogue.Ref, s *slot) []Action {
-	w := t.wantOf(ref)
+	w := t.pendingFor(ref)
 	if w == nil {
 		return nil
 	}
@@ -438,7 +447,7 @@
 }
 
 func (t *Table) refuseWaiters(reason Reason, ref catalogue.Ref) []Action {
-	w := t.wantOf(ref)
+	w := t.pendingFor(ref)
 	if w == nil {
 		return nil
 	}
@@ -450,8 +459,8 @@
 	return append(actions, t.drop(w)...)
 }
 
-// drop removes a want and gives back its permit when no load uses it.
-func (t *Table) drop(w *want) []Action {
+// drop removes a pending load and gives back its permit unless a load uses it.
+func (t *Table) drop(w *pendingLoad) []Action {
 	t.remove(w)
 	if w.order == 0 {
 		return nil
@@ -459,12 +468,12 @@
 	return []Action{Return{Order: w.order}}
 }
 
-func (t *Table) remove(w *want) {
-	t.wants = slices.DeleteFunc(t.wants, func(other *want) bool { return other == w })
+func (t *Table) remove(w *pendingLoad) {
+	t.pending = slices.DeleteFunc(t.pending, func(other *pendingLoad) bool { return other == w })
 }
 
-func (t *Table) wantOf(ref catalogue.Ref) *want {
-	for _, w := range t.wants {
+func (t *Table) pendingFor(ref catalogue.Ref) *pendingLoad {
+	for _, w := range t.pending {
 		if w.ref == ref {
 			return w
 		}
@@ -472,8 +481,9 @@
 	return nil
 }
 
-// ordered finds the slot of an order that is still current.
-func (t *Table) ordered(order OrderID, p phase) (catalogue.Ref, *slot) {
+// slotByOrder returns the slot with the given order and phase, or nil if the order is
+// no longer current.
+func (t *Table) slotByOrder(order OrderID, p phase) (catalogue.Ref, *slot) {
 	for ref, s := range t.slots {
 		if s.order == order && s.phase == p && order != 0 {
 			return ref, s
@@ -487,8 +497,8 @@
 	return t.lastOrder
 }
 
-// refs returns the adapters in slots in a fixed order, so that the same events
-// always yield the same actions.
+// refs returns the adapters in slots in sorted order, so that the same events always
+// yield the same actions.
 func (t *Table) refs() []catalogue.Ref {
 	refs := make([]catalogue.Ref, 0, len(t.slots))
 	for ref := range t.slots {
--- a/coord/slots/slots_test.go
+++ b/coord/slots/slots_test.go
@@ -20,9 +20,9 @@
 	incarnation int
 }
 
-// naiveEngine is the plainest picture of an engine, its running requests and
-// the orders on their way. It fails the test whenever an action is unsafe.
-type naiveEngine struct {
+// modelEngine is a minimal model of an engine, its running requests and its orders in
+// flight. It fails the test if an action is unsafe.
+type modelEngine struct {
 	t           *rapid.T
 	table       *Table
 	now         time.Time
@@ -35,25 +35,25 @@
 	orders      []engineOrder
 	late        []engineOrder
 	requests    map[RequestID]catalogue.Ref
-	verdicts    map[RequestID]int
-	last        RequestID
+	answers     map[RequestID]int
+	lastID      RequestID
 }
 
-func newNaiveEngine(t *rapid.T, options Options) *naiveEngine {
-	return &naiveEngine{
+func newModelEngine(t *rapid.T, options Options) *modelEngine {
+	return &modelEngine{
 		t: t, table: NewTable(options), now: time.Unix(0, 0), slots: options.Slots,
 		loaded: map[catalogue.Ref]bool{}, running: map[RequestID]catalogue.Ref{}, foreign: map[catalogue.Ref]bool{},
-		requests: map[RequestID]catalogue.Ref{}, verdicts: map[RequestID]int{},
+		requests: map[RequestID]catalogue.Ref{}, answers: map[RequestID]int{},
 	}
 }
 
-func (e *naiveEngine) perform(actions []Action) {
+func (e *modelEngine) perform(actions []Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case Start:
 			e.start(a.Request)
 		case Refuse:
-			e.verdict(a.Request)
+			e.answer(a.Request)
 		case Ask:
 			if !slices.Contains(e.asked, a.Order) {
 				e.asked = append(e.asked, a.Order)
@@ -61,7 +61,7 @@
 		case Return:
 			e.asked = slices.DeleteFunc(e.asked, func(o OrderID) bool { return o == a.Order })
 			if slices.ContainsFunc(e.orders, func(o engineOrder) bool { return o.order == a.Order && !o.unload }) {
-				e.t.Fatalf("the permit of a load under way was given back")
+				e.t.Fatalf("the permit of a load in progress was given back")
 			}
 		case Load:
 			e.order(engineOrder{order: a.Order, ref: a.Ref})
@@ -71,26 +71,26 @@
 	}
 }
 
-func (e *naiveEngine) verdict(id RequestID) {
-	e.verdicts[id]++
-	if e.verdicts[id] > 1 {
-		e.t.Fatalf("request %d got two verdicts", id)
+func (e *modelEngine) answer(id RequestID) {
+	e.answers[id]++
+	if e.answers[id] > 1 {
+		e.t.Fatalf("request %d got two answers", id)
 	}
 }
 
-func (e *naiveEngine) start(id RequestID) {
-	e.verdict(id)
+func (e *modelEngine) start(id RequestID) {
+	e.answer(id)
 	r := e.requests[id]
 	if !e.loaded[r] {
 		e.t.Fatalf("request %d started on %s, which is not loaded", id, r)
 	}
 	if slices.ContainsFunc(e.orders, func(o engineOrder) bool { return o.ref == r }) {
-		e.t.Fatalf("request %d started on %s, which an order concerns", id, r)
+		e.t.Fatalf("request %d started on %s, which has an order in flight", id, r)
 	}
 	e.running[id] = r
 }
 
-func (e *naiveEngine) order(o engineOrder) {
+func (e *modelEngine) order(o engineOrder) {
 	o.incarnation = e.incarnation
 	for _, other := range e.orders {
 		if other.ref == o.ref {
@@ -119,36 +119,36 @@
 	}
 }
 
-// finish ends the i-th order: fully, refused by the engine, or with no answer
-// though it may have been carried out.
-func (e *naiveEngine) finish(i int, how string) {
+// finish ends the i-th order: carried out, refused by the engine, or without an
+// answer although it may have been carried out.
+func (e *modelEngine) finish(i int, outcome string) {
 	o := e.orders[i]
 	e.orders = slices.Delete(e.orders, i, i+1)
 	e.late = append(e.late, o)
-	carriedOut := how == "done" || how == "done-unanswered"
+	carriedOut := outcome == "done" || outcome == "done-unanswered"
 	if carriedOut && o.unload {
 		delete(e.loaded, o.ref)
 	}
 	if carriedOut && !o.unload {
 		e.loaded[o.ref] = true
 	}
-	e.tell(o, how)
+	e.report(o, outcome)
 }
 
-func (e *naiveEngine) tell(o engineOrder, how string) {
+func (e *modelEngine) report(o engineOrder, outcome string) {
 	switch {
-	case o.unload && how == "done":
+	case o.unload && outcome == "done":
 		e.perform(e.table.Unloaded(o.order, e.now))
 	case o.unload:
 		e.perform(e.table.UnloadFailed(o.order, e.now))
-	case how == "done":
+	case outcome == "done":
 		e.perform(e.table.Loaded(o.order, e.now))
 	default:
-		e.perform(e.table.LoadFailed(o.order, how == "refused", e.now))
+		e.perform(e.table.LoadFailed(o.order, outcome == "refused", e.now))
 	}
 }
 
-func (e *naiveEngine) restart() {
+func (e *modelEngine) restart() {
 	e.incarnation++
 	clear(e.loaded)
 	clear(e.running)
@@ -160,12 +160,12 @@
 
 var outcomes = []string{"done", "refused", "done-unanswered", "lost"}
 
-// TestTableAgainstNaiveEngine drives the table with every kind of event in any
-// order, late and repeated ones included. An unsafe step would show to users
-// as an answer from a request cut off in the middle, or an engine that refuses.
-func TestTableAgainstNaiveEngine(t *testing.T) {
+// TestTableAgainstModelEngine sends the table every kind of event in any order,
+// including delayed and repeated ones. Users would see an unsafe action as a
+// truncated answer or as a refusal by the engine.
+func TestTableAgainstModelEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := newNaiveEngine(t, Options{Slots: rapid.IntRange(1, 3).Draw(t, "slots"), Queue: 6, Patience: time.Second})
+		e := newModelEngine(t, Options{Slots: rapid.IntRange(1, 3).Draw(t, "slots"), Queue: 6, Patience: time.Second})
 		if rapid.Bool().Draw(t, "adopt") {
 			e.loaded[ref(0)], e.foreign[ref(0)] = true, true
 			e.table.Adopt(ref(0), true)
@@ -173,22 +173,22 @@
 		pick := func(n int, label string) int { return rapid.IntRange(0, n-1).Draw(t, label) }
 		t.Repeat(map[string]func(*rapid.T){
 			"request": func(*rapid.T) {
-				e.last++
-				e.requests[e.last] = ref(pick(6, "adapter"))
-				e.perform(e.table.Request(Claim{Request: e.last, Ref: e.requests[e.last], Weight: 1, Patient: rapid.Bool().Draw(t, "patient")}, e.now))
+				e.lastID++
+				e.requests[e.lastID] = ref(pick(6, "adapter"))
+				e.perform(e.table.Request(Claim{Request: e.lastID, Ref: e.requests[e.lastID], Weight: 1, Patient: rapid.Bool().Draw(t, "patient")}, e.now))
 			},
 			"cancel": func(*rapid.T) {
-				id := RequestID(pick(int(e.last)+1, "cancelled"))
-				if _, runs := e.running[id]; runs || e.verdicts[id] > 0 || id == 0 {
+				id := RequestID(pick(int(e.lastID)+1, "cancelled"))
+				if _, runs := e.running[id]; runs || e.answers[id] > 0 || id == 0 {
 					return
 				}
 				e.perform(e.table.Cancel(id, e.now))
-				e.verdict(id)
+				e.answer(id)
 			},
 			"release": func(*rapid.T) {
-				id := RequestID(pick(int(e.last)+1, "released"))
+				id := RequestID(pick(int(e.lastID)+1, "released"))
 				delete(e.running, id)
-				if e.verdicts[id] > 0 {
+				if e.answers[id] > 0 {
 					e.perform(e.table.Release(id, e.now))
 				}
 			},
@@ -210,7 +210,7 @@
 			},
 			"late": func(*rapid.T) {
 				if len(e.late) > 0 {
-					e.tell(e.late[pick(len(e.late), "late")], rapid.SampledFrom(outcomes).Draw(t, "how"))
+					e.report(e.late[pick(len(e.late), "late")], rapid.SampledFrom(outcomes).Draw(t, "how"))
 				}
 			},
 			"restart": func(*rapid.T) { e.restart() },
@@ -223,19 +223,20 @@
 				e.perform(e.table.Tick(e.now))
 			},
 		})
-		e.settle()
+		e.drain()
 	})
 }
 
-// settle ends everything well; then no request may be left waiting.
-func (e *naiveEngine) settle() {
+// drain lets all orders and requests end successfully and checks that no request is
+// left waiting.
+func (e *modelEngine) drain() {
 	clear(e.foreign)
 	e.perform(e.table.InUse(nil, e.now))
 	for range 200 {
 		for len(e.orders) > 0 {
 			e.finish(0, "done")
 		}
-		for id := range e.last + 1 {
+		for id := range e.lastID + 1 {
 			delete(e.running, id)
 			e.perform(e.table.Release(id, e.now))
 		}
@@ -246,13 +247,13 @@
 		e.perform(e.table.Tick(e.now))
 	}
 	for id := range e.requests {
-		if e.verdicts[id] == 0 {
-			e.t.Fatalf("request %d on %s waits for ever", id, e.requests[id])
+		if e.answers[id] == 0 {
+			e.t.Fatalf("request %d on %s was never answered", id, e.requests[id])
 		}
 	}
 }
 
-func patient(id RequestID, r catalogue.Ref) Claim {
+func patientClaim(id RequestID, r catalogue.Ref) Claim {
 	return Claim{Request: id, Ref: r, Weight: 1, Patient: true}
 }
 
@@ -266,17 +267,17 @@
 	return after
 }
 
-// Popular adapters with a request always running hold every slot. A request
-// for another adapter would wait until its caller gives up.
-func TestPinnedSlotsDoNotStarveAWaitingAdapter(t *testing.T) {
+// Popular adapters with requests always running hold every slot. A request for another
+// adapter must not wait until its caller gives up.
+func TestPinnedSlotsDoNotStarveWaitingAdapter(t *testing.T) {
 	now := time.Unix(0, 0)
 	table := NewTable(Options{Slots: 1, Queue: 8, Patience: time.Second})
-	load := grantAll(table, table.Request(patient(1, ref(1)), now), now)[0].(Load)
+	load := grantAll(table, table.Request(patientClaim(1, ref(1)), now), now)[0].(Load)
 	table.Loaded(load.Order, now)
-	table.Request(patient(2, ref(2)), now)
+	table.Request(patientClaim(2, ref(2)), now)
 	now = now.Add(2 * time.Second)
 	table.Tick(now)
-	for _, a := range table.Request(patient(3, ref(1)), now) {
+	for _, a := range table.Request(patientClaim(3, ref(1)), now) {
 		if _, started := a.(Start); started {
 			t.Fatal("a new request for the popular adapter overtook the starving one")
 		}
@@ -287,12 +288,13 @@
 	}
 }
 
-// Every slot serves while another server has room. A request that waits here
-// waits for strangers' answers to end, unless it is sent on.
+// Every slot serves requests while another server has a free one. A request that is
+// not patient must be refused, so that it can be sent to the other server instead of
+// waiting for unrelated requests to end.
 func TestOnlyPatientRequestsWaitForASlot(t *testing.T) {
 	now := time.Unix(0, 0)
 	table := NewTable(Options{Slots: 1, Queue: 8})
-	load := grantAll(table, table.Request(patient(1, ref(1)), now), now)[0].(Load)
+	load := grantAll(table, table.Request(patientClaim(1, ref(1)), now), now)[0].(Load)
 	table.Loaded(load.Order, now)
 	got := table.Request(Claim{Request: 2, Ref: ref(2), Weight: 1}, now)
 	if len(got) != 1 || got[0] != (Refuse{Request: 2, Reason: ReasonNoSlot}) {
@@ -301,20 +303,20 @@
 	if got := table.Request(Claim{Request: 3, Ref: ref(1), Weight: 1}, now); len(got) != 1 || got[0] != (Start{Request: 3}) {
 		t.Errorf("a request for the loaded adapter got %v", got)
 	}
-	if got := table.Request(patient(4, ref(2)), now); len(got) != 0 || table.Report(now).Waiting != 1 {
+	if got := table.Request(patientClaim(4, ref(2)), now); len(got) != 0 || table.Report(now).Waiting != 1 {
 		t.Errorf("a patient request got %v", got)
 	}
 }
 
-// An adapter whose files are broken fails each load. Without a back-off every
-// caller's retry would cost the weight store a load that others wait for.
+// Every load of an adapter with broken files fails. Without backoff every retry by a
+// caller would cost the weight store a load that others wait for.
 func TestFailedLoadsBackOffAndRecover(t *testing.T) {
 	now := time.Unix(0, 0)
 	table := NewTable(Options{Slots: 1, Queue: 8})
 	for failures, pause := 0, time.Second; failures < 3; failures, pause = failures+1, 2*pause {
-		load := grantAll(table, table.Request(patient(1, ref(1)), now), now)[0].(Load)
+		load := grantAll(table, table.Request(patientClaim(1, ref(1)), now), now)[0].(Load)
 		table.LoadFailed(load.Order, true, now)
-		early := table.Request(patient(2, ref(1)), now.Add(pause-time.Millisecond))
+		early := table.Request(patientClaim(2, ref(1)), now.Add(pause-time.Millisecond))
 		if len(early) != 1 || early[0] != (Refuse{Request: 2, Reason: ReasonLoadFailed}) {
 			t.Fatalf("after %d failures: %v", failures+1, early)
 		}
@@ -322,22 +324,22 @@
 	}
 }
 
-// An engine restarts, and an adapter is loaded again before its agent knows. The
-// engine then refuses the next load for want of a slot that the table takes for
-// free. The callers of that load wait until a slot is freed; only a second refusal
-// is told to them.
-func TestALoadThatMeetsAFullEngineIsPlannedAnew(t *testing.T) {
+// An engine restarts and loads an adapter again before its agent notices. It then
+// refuses the next load, for which the table expects a free slot. The callers waiting
+// for that load must keep waiting until a slot is freed, and be refused only after a
+// second such refusal.
+func TestLoadIntoFullEngineIsPlannedAgain(t *testing.T) {
 	now := time.Unix(0, 0)
 	for _, again := range []bool{false, true} {
 		table := NewTable(Options{Slots: 1, Queue: 8})
-		load := grantAll(table, table.Request(patient(1, ref(1)), now), now)[0].(Load)
+		load := grantAll(table, table.Request(patientClaim(1, ref(1)), now), now)[0].(Load)
 		table.Adopt(ref(2), true)
 		if got := table.LoadFull(load.Order, now); slices.ContainsFunc(got, isRefusal) {
-			t.Fatalf("the first refusal reached callers: %v", got)
+			t.Fatalf("callers were refused after the first refusal: %v", got)
 		}
 		unload := grantAll(table, table.InUse(nil, now), now)[0].(Unload)
 		if unload.Ref != ref(2) {
-			t.Fatalf("unloads %v, want what the engine turned out to hold", unload.Ref)
+			t.Fatalf("unloads %v, want the adapter that the engine held", unload.Ref)
 		}
 		next := table.Unloaded(unload.Order, now)[0].(Load)
 		if next.Ref != ref(1) {
@@ -360,7 +362,7 @@
 	return refusal
 }
 
-// The least valuable adapter goes: rarely used, or quick to load again.
+// The least valuable adapter is evicted: the one that is rarely used or quick to load.
 func TestEvictionWeighsUseAndLoadTime(t *testing.T) {
 	const quick, slow = 100 * time.Millisecond, time.Second
 	cases := []struct {
@@ -382,7 +384,7 @@
 		for adapter, uses := range c.uses {
 			for range uses {
 				id++
-				actions := grantAll(table, table.Request(patient(id, ref(adapter)), now), now)
+				actions := grantAll(table, table.Request(patientClaim(id, ref(adapter)), now), now)
 				if len(actions) > 0 {
 					now = now.Add(c.loads[adapter])
 					table.Loaded(actions[0].(Load).Order, now)
@@ -390,15 +392,15 @@
 				table.Release(id, now)
 			}
 		}
-		actions := grantAll(table, table.Request(patient(id+1, ref(9)), now), now)
+		actions := grantAll(table, table.Request(patientClaim(id+1, ref(9)), now), now)
 		if got := actions[0].(Unload).Ref; got != ref(c.victim) {
 			t.Errorf("%s: evicted %s, want %s", c.name, got, ref(c.victim))
 		}
 	}
 }
 
-// BenchmarkRequest is the cost of one request that finds its adapter loaded,
-// its release included, in a table that has seen many adapters.
+// BenchmarkRequest measures one request for a loaded adapter, including its release,
+// in a table that has had requests for many adapters.
 func BenchmarkRequest(b *testing.B) {
 	for _, adapters := range []int{3_000, 130_000} {
 		b.Run(fmt.Sprintf("adapters=%d", adapters), func(b *testing.B) {
@@ -407,7 +409,7 @@
 			id := RequestID(0)
 			for i := range adapters {
 				id++
-				for _, a := range grantAll(table, table.Request(patient(id, ref(i)), now), now) {
+				for _, a := range grantAll(table, table.Request(patientClaim(id, ref(i)), now), now) {
 					finishAll(table, a, now)
 				}
 				table.Release(id, now)
@@ -417,14 +419,14 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				id++
-				table.Request(patient(id, last), now)
+				table.Request(patientClaim(id, last), now)
 				table.Release(id, now)
 			}
 		})
 	}
 }
 
-// finishAll ends an order well, and those that follow from it.
+// finishAll ends an order, and those that follow from it, successfully.
 func finishAll(table *Table, action Action, now time.Time) {
 	var next []Action
 	switch a := action.(type) {
--- a/coord/slots/usage.go
+++ b/coord/slots/usage.go
@@ -7,11 +7,11 @@
 	"github.com/rosemarypass/rosemarypass/coord/catalogue"
 )
 
-// ghostsPerSlot is how many adapters per slot the table remembers the use of,
-// loaded or not: one that comes back soon after its eviction is worth keeping.
-const ghostsPerSlot = 16
+// trackedPerSlot is the number of adapters per slot whose use is tracked, loaded or
+// not: an adapter requested again soon after its eviction is worth keeping.
+const trackedPerSlot = 16
 
-// usage estimates how often each adapter is asked for, with exponential decay.
+// usage estimates how often each adapter is requested, with exponential decay.
 type usage struct {
 	halfLife time.Duration
 	limit    int
@@ -21,7 +21,7 @@
 type usageEntry struct {
 	weight float64
 	at     time.Time
-	// loadTime is the last measured load, in seconds; 0 when none was.
+	// loadTime is the last measured load time in seconds, or 0 if there is none.
 	loadTime float64
 }
 
@@ -39,14 +39,14 @@
 	}
 }
 
-func (u *usage) loaded(ref catalogue.Ref, took time.Duration) {
+func (u *usage) recordLoad(ref catalogue.Ref, took time.Duration) {
 	if e, ok := u.entries[ref]; ok {
 		e.loadTime = took.Seconds()
 		u.entries[ref] = e
 	}
 }
 
-// value is the load time, in seconds, that keeping the adapter is expected to save.
+// value returns the load time, in seconds, that keeping the adapter is expected to save.
 func (u *usage) value(ref catalogue.Ref, now time.Time) float64 {
 	e := u.entries[ref]
 	cost := e.loadTime
@@ -56,7 +56,7 @@
 	return u.decayed(e, now) * cost
 }
 
-// use is the decayed count of requests for the adapter.
+// use returns the decayed count of requests for the adapter.
 func (u *usage) use(ref catalogue.Ref, now time.Time) float64 { return u.decayed(u.entries[ref], now) }
 
 func (u *usage) decayed(e usageEntry, now time.Time) float64 {
@@ -66,8 +66,8 @@
 	return e.weight * math.Exp2(-now.Sub(e.at).Seconds()/u.halfLife.Seconds())
 }
 
-// prune forgets adapters with less than the mean weight until limit remain, so
-// that memory is bounded however many adapters the catalogue has.
+// prune drops adapters with no more than the mean weight until at most limit remain,
+// so that memory is bounded regardless of the size of the catalogue.
 func (u *usage) prune(now time.Time) {
 	for len(u.entries) > u.limit {
 		total := 0.0
@@ -83,14 +83,14 @@
 	}
 }
 
-// failure is the back-off of an adapter whose load failed.
+// failure is the backoff of an adapter whose load failed.
 type failure struct {
 	pause time.Duration
 	until time.Time
 }
 
-// backOff refuses the adapter for a while, doubled with each failure in a row:
-// without it every request for a broken adapter would cost the store a load.
+// backOff refuses the adapter for a pause that doubles with each consecutive failure.
+// Otherwise every request for a broken adapter would cost the weight store a load.
 func (t *Table) backOff(ref catalogue.Ref, now time.Time) {
 	pause := t.options.RetryMin
 	if f, ok := t.failures[ref]; ok {
@@ -99,7 +99,7 @@
 	t.failures[ref] = failure{pause: pause, until: now.Add(pause)}
 }
 
-// forgetFailures drops back-offs that ended more than RetryMax ago.
+// forgetFailures drops backoffs that ended more than RetryMax ago.
 func (t *Table) forgetFailures(now time.Time) {
 	for ref, f := range t.failures {
 		if now.Sub(f.until) > t.options.RetryMax {
