--- a/coord/broker/broker.go
+++ b/coord/broker/broker.go
@@ -1,12 +1,13 @@
-// Package broker shares one site's weight store among its agents.
+// Package broker shares the weight store of one site among its agents.
 //
-// The store loads quickly up to some number of loads in flight, its knee, and
-// proportionally slower beyond. Broker keeps the loads in flight at the knee,
-// which it learns from measured load times (Window), and gives permits first
-// to the loads that most requests wait for. A permit is a lease: when its agent
-// dies, the permit comes back by itself.
+// The store loads at full speed up to a number of concurrent loads, its knee, and
+// proportionally slower beyond it. Broker keeps the number of loads in flight at
+// the knee, which it estimates from measured load times (see Window), and grants
+// permits first to the loads with the highest demand. A permit is a lease, so it
+// expires if its agent dies.
 //
-// Broker is a pure state machine: events with the time in, grants out.
+// Broker is a pure state machine: it takes events with the current time and
+// returns grants.
 package broker
 
 import (
@@ -15,39 +16,40 @@
 	"time"
 )
 
-// Key identifies a wanted load: an order of one agent in one incarnation.
+// Key identifies a load: an order of one incarnation of an agent.
 type Key struct {
 	Agent string `json:"agent"`
-	// Incarnation differs between two runs of one agent.
+	// Incarnation differs between any two runs of an agent.
 	Incarnation uint64 `json:"incarnation"`
-	// Order is the agent's own number of the load (slots.OrderID).
+	// Order is the agent's number for the load (slots.OrderID).
 	Order uint64 `json:"order"`
 }
 
-// Ask requests a permit. Asking again renews the request and updates Demand.
+// Ask requests a permit. Another Ask with the same key renews the request and updates
+// Demand.
 type Ask struct {
 	Key
-	// Demand is the sum of the weights of the requests that wait for the load.
+	// Demand is the sum of the weights of the requests waiting for the load.
 	Demand float64
-	// Waited is how long the first of them has waited already. A request
-	// whose permit had to go back for want of a slot would else start at the
-	// end of the queue, again and again.
+	// Waited is how long the first of them has waited so far. Without it, a
+	// request whose permit had to be returned because no slot was free would
+	// restart at the end of the queue each time.
 	Waited time.Duration
 }
 
-// Grant permits one load until its lease ends.
+// Grant permits one load until its lease expires.
 type Grant struct {
 	Key
-	// Expires is when the permit comes back unless a Report holds it.
+	// Expires is when the permit expires unless a Report renews it.
 	Expires time.Time
 }
 
-// Options tune a broker. Zero values take the defaults.
+// Options configure a broker. Zero values select the defaults.
 type Options struct {
-	// Lease is how long a permit lasts without its end being reported, and
-	// how long an ask lasts without being renewed.
+	// Lease is how long a permit or a queued request is valid without being
+	// renewed.
 	Lease time.Duration
-	// AgeUnit is the time of waiting that weighs as much as 1 more of demand.
+	// AgeUnit is the waiting time that counts as one unit of demand.
 	AgeUnit time.Duration
 	Window  WindowOptions
 }
@@ -57,7 +59,8 @@
 	defaultAgeUnit = 250 * time.Millisecond
 )
 
-// Broker owns the permits of one site. One duty owns it.
+// Broker manages the permits of one site. It is not safe for concurrent use: a single
+// duty uses it.
 type Broker struct {
 	options Options
 	window  *Window
@@ -67,19 +70,20 @@
 }
 
 type pending struct {
-	ask   Ask
-	since time.Time
-	seen  time.Time
+	ask       Ask
+	since     time.Time
+	renewedAt time.Time
 }
 
 type permit struct {
 	since   time.Time
 	expires time.Time
-	// inFlight is how many permits were out when this one was given.
+	// inFlight is the number of permits in use when this one was granted,
+	// itself included.
 	inFlight int
 }
 
-// New returns a broker without permits out.
+// New returns a broker that has granted no permits.
 func New(options Options) *Broker {
 	if options.Lease == 0 {
 		options.Lease = defaultLease
@@ -90,8 +94,8 @@
 	return &Broker{options: options, window: NewWindow(options.Window), granted: make(map[Key]permit)}
 }
 
-// Ask queues or renews a request and returns the grants that are due. One
-// that was granted already is granted again: the first answer was lost.
+// Ask queues or renews a request and returns the resulting grants. A request that was
+// already granted is granted again, because the first answer was lost.
 func (b *Broker) Ask(ask Ask, now time.Time) []Grant {
 	if p, ok := b.granted[ask.Key]; ok {
 		return []Grant{{Key: ask.Key, Expires: p.expires}}
@@ -106,19 +110,19 @@
 	}
 	i := slices.IndexFunc(b.queue, func(p pending) bool { return p.ask.Key == ask.Key })
 	if i >= 0 {
-		b.queue[i].ask, b.queue[i].seen = ask, now
+		b.queue[i].ask, b.queue[i].renewedAt = ask, now
 		return
 	}
-	b.queue = append(b.queue, pending{ask: ask, since: now.Add(-ask.Waited), seen: now})
+	b.queue = append(b.queue, pending{ask: ask, since: now.Add(-ask.Waited), renewedAt: now})
 }
 
-// Return ends a queued request or a permit whose load did not happen.
+// Return ends a queued request or an unused permit.
 func (b *Broker) Return(key Key, now time.Time) []Grant {
-	b.forget(key)
+	b.remove(key)
 	return b.grant(now)
 }
 
-// Loaded ends a permit whose load took the given time; the window learns from it.
+// Loaded ends a permit whose load took the given time, which the window observes.
 func (b *Broker) Loaded(key Key, took time.Duration, now time.Time) []Grant {
 	b.finish(key, took, now)
 	return b.grant(now)
@@ -127,42 +131,43 @@
 // Want is one load in a Report that waits for a permit.
 type Want struct {
 	Order uint64 `json:"order"`
-	// Demand is the sum of the weights of the requests that wait.
+	// Demand is the sum of the weights of the waiting requests.
 	Demand float64 `json:"demand"`
 	// Waited is how long the first of them has waited, in nanoseconds.
 	Waited time.Duration `json:"waited,omitempty"`
 }
 
-// Finished is one ended load in a Report.
+// Finished is one finished load in a Report.
 type Finished struct {
 	Order uint64 `json:"order"`
-	// Took is the time of the load alone, in nanoseconds.
+	// Took is the duration of the load alone, in nanoseconds.
 	Took time.Duration `json:"took"`
 }
 
-// Report is everything that an agent wants and holds. It replaces what the
-// agent said before, so that a lost message does no harm.
+// Report is the complete state of an agent. It replaces the agent's previous report,
+// so that a lost message does no harm.
 type Report struct {
 	Agent       string `json:"agent"`
 	Incarnation uint64 `json:"incarnation"`
-	// Wanted are loads that wait for a permit; Held are the orders under way
-	// with one; Finished ended since the last report that was answered.
+	// Wanted are the loads that wait for a permit, Held the orders of loads in
+	// progress with one, and Finished the loads that have ended since the last
+	// answered report.
 	Wanted   []Want     `json:"wanted,omitempty"`
 	Held     []uint64   `json:"held,omitempty"`
 	Finished []Finished `json:"finished,omitempty"`
 }
 
-// Sync takes an agent's report and returns the permits that the agent has for
-// what it wants, and those that other agents got by it. Permits that the agent
-// neither wants nor holds come back; held permits are renewed. A held order
-// that the broker does not know, as after its restart, counts as in flight.
+// Sync processes an agent's report and returns the permits of the agent for its wanted
+// loads, and the permits that other agents got as a result. Permits that the report
+// does not list are freed; held permits are renewed. A held order that the broker does
+// not know, as after a restart of the broker, counts as in flight.
 func (b *Broker) Sync(r Report, now time.Time) (own, others []Grant) {
 	for _, f := range r.Finished {
 		b.finish(Key{Agent: r.Agent, Incarnation: r.Incarnation, Order: f.Order}, f.Took, now)
 	}
-	b.keepOnly(r)
+	b.dropUnlisted(r)
 	for _, order := range r.Held {
-		b.hold(Key{Agent: r.Agent, Incarnation: r.Incarnation, Order: order}, now)
+		b.renewPermit(Key{Agent: r.Agent, Incarnation: r.Incarnation, Order: order}, now)
 	}
 	for _, w := range r.Wanted {
 		key := Key{Agent: r.Agent, Incarnation: r.Incarnation, Order: w.Order}
@@ -180,12 +185,13 @@
 	if p, ok := b.granted[key]; ok {
 		b.window.Observe(took, p.inFlight, now)
 	}
-	b.forget(key)
+	b.remove(key)
 }
 
-// keepOnly forgets what the agent no longer mentions, former incarnations included.
-func (b *Broker) keepOnly(r Report) {
-	mentioned := func(key Key) bool {
+// dropUnlisted removes the permits and requests of an agent that its report does not
+// list, including those of previous incarnations.
+func (b *Broker) dropUnlisted(r Report) {
+	listed := func(key Key) bool {
 		if key.Incarnation != r.Incarnation {
 			return false
 		}
@@ -193,14 +199,14 @@
 		return wanted || slices.Contains(r.Held, key.Order)
 	}
 	for key := range b.granted {
-		if key.Agent == r.Agent && !mentioned(key) {
+		if key.Agent == r.Agent && !listed(key) {
 			delete(b.granted, key)
 		}
 	}
-	b.queue = slices.DeleteFunc(b.queue, func(p pending) bool { return p.ask.Agent == r.Agent && !mentioned(p.ask.Key) })
+	b.queue = slices.DeleteFunc(b.queue, func(p pending) bool { return p.ask.Agent == r.Agent && !listed(p.ask.Key) })
 }
 
-func (b *Broker) hold(key Key, now time.Time) {
+func (b *Broker) renewPermit(key Key, now time.Time) {
 	p, ok := b.granted[key]
 	if !ok {
 		p = permit{since: now, inFlight: len(b.granted) + 1}
@@ -220,12 +226,13 @@
 	return grants
 }
 
-func (b *Broker) forget(key Key) {
+func (b *Broker) remove(key Key) {
 	delete(b.granted, key)
 	b.queue = slices.DeleteFunc(b.queue, func(p pending) bool { return p.ask.Key == key })
 }
 
-// Tick takes back permits and drops queued requests whose agents have gone silent.
+// Tick removes expired permits, and queued requests that were not renewed in time, and
+// returns the resulting grants.
 func (b *Broker) Tick(now time.Time) []Grant {
 	for key, p := range b.granted {
 		if !now.Before(p.expires) {
@@ -233,23 +240,23 @@
 			b.expired++
 		}
 	}
-	b.queue = slices.DeleteFunc(b.queue, func(p pending) bool { return now.Sub(p.seen) >= b.options.Lease })
+	b.queue = slices.DeleteFunc(b.queue, func(p pending) bool { return now.Sub(p.renewedAt) >= b.options.Lease })
 	return b.grant(now)
 }
 
-// InFlight counts the permits that are out.
+// InFlight returns the number of granted permits.
 func (b *Broker) InFlight() int { return len(b.granted) }
 
-// Queued counts the requests that wait for a permit.
+// Queued returns the number of requests waiting for a permit.
 func (b *Broker) Queued() int { return len(b.queue) }
 
-// Limit is the most loads that the broker now keeps in flight.
+// Limit returns the current maximum number of loads in flight.
 func (b *Broker) Limit() int { return b.window.Limit() }
 
-// LoadTime is the store's load time below its knee, 0 before the first load.
+// LoadTime returns the store's load time below its knee, or 0 before the first load.
 func (b *Broker) LoadTime() time.Duration { return b.window.Base() }
 
-// Expired counts permits that came back because their lease ended.
+// Expired returns the number of permits whose lease has expired.
 func (b *Broker) Expired() uint64 { return b.expired }
 
 func (b *Broker) grant(now time.Time) []Grant {
@@ -265,8 +272,8 @@
 	return grants
 }
 
-// first finds the queued request with the most demand. Age counts too, so that a load
-// with one waiter is not passed over for ever.
+// first returns the index of the queued request with the highest priority. Priority
+// grows with age, so that a load with little demand does not starve.
 func (b *Broker) first(now time.Time) int {
 	best, bestScore := 0, 0.0
 	for i, p := range b.queue {
--- a/coord/broker/broker_test.go
+++ b/coord/broker/broker_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// drive keeps a store with a knee busy through a window for a while and
-// returns the mean limit over the last half.
+// drive simulates a store with the given knee under constant load and returns the mean
+// limit over the second half of the loads.
 func drive(w *Window, knee int, base time.Duration, loads int) float64 {
 	random := rand.New(rand.NewPCG(1, 1))
 	now, sum := time.Unix(0, 0), 0.0
@@ -27,9 +27,9 @@
 	return sum / float64(loads-loads/2)
 }
 
-// The store's knee is not in any settings: a wrong guess would leave the store
-// idle while callers wait, or slow every load down.
-func TestWindowFindsTheKneeOfAnyStore(t *testing.T) {
+// The store's knee is not configured. A wrong estimate would leave the store idle while
+// callers wait, or slow down every load.
+func TestWindowFindsKnee(t *testing.T) {
 	for _, knee := range []int{1, 2, 8, 24} {
 		w := NewWindow(WindowOptions{})
 		mean := drive(w, knee, 250*time.Millisecond, 4000)
@@ -39,8 +39,8 @@
 	}
 }
 
-// A store that turns slower for good must not close the window for ever.
-func TestWindowFollowsAStoreThatBecomesSlower(t *testing.T) {
+// A store that becomes permanently slower must not keep the window closed.
+func TestWindowAdaptsToSlowerStore(t *testing.T) {
 	w := NewWindow(WindowOptions{})
 	drive(w, 8, 250*time.Millisecond, 2000)
 	if mean := drive(w, 8, 2*time.Second, 4000); mean < 5 {
@@ -50,8 +50,8 @@
 
 func key(agent string, order uint64) Key { return Key{Agent: agent, Incarnation: 1, Order: order} }
 
-// An agent that dies with permits would else keep the others from loading.
-func TestPermitsOfADeadAgentComeBack(t *testing.T) {
+// An agent that dies while it has permits must not keep the others from loading.
+func TestPermitsOfDeadAgentExpire(t *testing.T) {
 	b := New(Options{Window: WindowOptions{Initial: 1, Max: 1}})
 	now := time.Unix(0, 0)
 	b.Ask(Ask{Key: key("dead", 1)}, now)
@@ -62,29 +62,29 @@
 	b.Ask(Ask{Key: key("live", 1)}, now)
 	got := b.Tick(now.Add(time.Second))
 	if len(got) != 1 || got[0].Key != key("live", 1) || b.Expired() != 1 {
-		t.Fatalf("the permit did not come back: %v", got)
+		t.Fatalf("the permit did not expire: %v", got)
 	}
 }
 
-func TestMostDemandGoesFirstButNoneStarves(t *testing.T) {
+func TestHighestDemandIsGrantedFirstWithoutStarvation(t *testing.T) {
 	b := New(Options{Window: WindowOptions{Initial: 1, Max: 1}})
 	now := time.Unix(0, 0)
 	b.Ask(Ask{Key: key("a", 1), Demand: 1}, now)
 	b.Ask(Ask{Key: key("b", 1), Demand: 1}, now)
 	b.Ask(Ask{Key: key("c", 1), Demand: 5}, now)
 	if got := b.Loaded(key("a", 1), time.Second, now); got[0].Key != key("c", 1) {
-		t.Fatalf("five waiters did not go first: %v", got)
+		t.Fatalf("the load with the highest demand was not granted first: %v", got)
 	}
 	now = now.Add(10 * time.Second)
 	b.Ask(Ask{Key: key("d", 1), Demand: 9}, now)
 	if got := b.Loaded(key("c", 1), time.Second, now); got[0].Key != key("b", 1) {
-		t.Fatalf("an old wish was passed over: %v", got)
+		t.Fatalf("the oldest request was not granted: %v", got)
 	}
 }
 
-// TestSyncKeepsPermitsWithinTheLimit drives random reports of agents that die,
-// restart and repeat themselves. More loads in flight than the limit would
-// slow every load at the site down.
+// TestSyncKeepsPermitsWithinTheLimit sends random reports of agents that die, restart
+// and repeat reports. More loads in flight than the limit would slow down every load at
+// the site.
 func TestSyncKeepsPermitsWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 2
@@ -114,7 +114,7 @@
 				grants, others := b.Sync(*r, now)
 				for _, g := range others {
 					if g.Agent == r.Agent {
-						t.Fatalf("a grant of %s was called another agent's", r.Agent)
+						t.Fatalf("a grant of %s was returned as another agent's", r.Agent)
 					}
 				}
 				r.Finished = nil
@@ -144,13 +144,13 @@
 			b.Sync(*r, now)
 		}
 		if b.InFlight() != 0 || b.Queued() != 0 {
-			t.Fatalf("%d permits and %d wishes are left of agents that want nothing", b.InFlight(), b.Queued())
+			t.Fatalf("%d permits and %d requests are left of agents that want nothing", b.InFlight(), b.Queued())
 		}
 	})
 }
 
-// BenchmarkSync is one report of an agent while every agent of a site waits
-// for a load.
+// BenchmarkSync measures one report of an agent while every agent of a site waits for a
+// load.
 func BenchmarkSync(b *testing.B) {
 	for _, agents := range []int{22, 300} {
 		b.Run(fmt.Sprintf("agents=%d", agents), func(b *testing.B) {
--- a/coord/broker/example_test.go
+++ b/coord/broker/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/rosemarypass/rosemarypass/coord/broker"
 )
 
-// Two agents want to load while the store takes one load at a time. The second
-// has its permit once the first reports the end of its load.
+// Two agents want to load while the store runs one load at a time. The second gets its
+// permit when the first reports the end of its load.
 func Example() {
 	now := time.Unix(1_000, 0)
 	b := broker.New(broker.Options{Window: broker.WindowOptions{Initial: 1, Max: 1}})
--- a/coord/broker/window.go
+++ b/coord/broker/window.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// WindowOptions tune a Window. Zero values take the defaults.
+// WindowOptions configure a Window. Zero values select the defaults.
 type WindowOptions struct {
 	// Initial is the limit before the first measurement.
 	Initial float64
 	// Max bounds the limit.
 	Max float64
-	// Tolerance is how much longer than the base a load may take before the
-	// limit shrinks; 1.3 allows 30 percent.
+	// Tolerance is the factor over the base time that a load may take before
+	// the limit shrinks. 1.3 allows 30 percent more.
 	Tolerance float64
-	// ProbeEvery is the number of loads between probes of the base.
+	// ProbeEvery is the number of loads between probes of the base time.
 	ProbeEvery int
 }
 
@@ -24,37 +24,40 @@
 	defaultMax        = 64
 	defaultTolerance  = 1.3
 	defaultProbeEvery = 100
-	// minShrink bounds one step down, so that one slow load cannot close the window.
+	// minShrink is the smallest factor of one decrease, so that a single slow
+	// load cannot close the window.
 	minShrink = 0.5
-	// probeShare is the part of the limit that is used while probing.
+	// probeShare is the fraction of the limit that is used during a probe.
 	probeShare = 0.5
 )
 
-// Window finds how many loads the weight store takes at full speed. It grows
-// by one per window of loads that took about the base time, and shrinks by the
-// ratio of base to measured time, at most once per load time.
+// Window estimates how many concurrent loads the weight store can run at full speed.
+// It grows by one per window of loads that took about the base time, and shrinks by
+// the ratio of base to measured time, at most once per load time.
 //
-// The base is the load time below the knee. Measured only at the limit it
-// would creep up with it: beyond the knee every load is slow, and slow would
-// count as normal. So the window halves for a moment now and then and takes
-// the base anew, which also follows a store that became slower for good.
+// The base is the load time below the knee. If it were measured only at the limit, it
+// would increase along with it: beyond the knee every load is slow, and slow loads
+// would count as normal. So the window periodically halves for a short probe and
+// measures the base again, which also adapts it to a permanently slower store.
 type Window struct {
-	options WindowOptions
-	limit   float64
-	base    time.Duration
-	shrunk  time.Time
-	loads   int
-	probe   *probe
+	options  WindowOptions
+	limit    float64
+	base     time.Duration
+	shrunkAt time.Time
+	loads    int
+	probe    *probe
 }
 
-// probe is a moment of half the limit.
+// probe is a measurement of the base time at a reduced limit.
 type probe struct {
 	limit float64
-	// pending counts the loads still to be measured.
+	// pending is the number of loads still to be measured.
 	pending int
-	// settling counts the loads, begun before the probe, to be passed over.
+	// settling is the number of loads still to be ignored because they began
+	// before the probe.
 	settling int
-	best     time.Duration
+	// best is the shortest load time measured.
+	best time.Duration
 }
 
 // NewWindow returns a window at its initial limit.
@@ -68,7 +71,7 @@
 	return &Window{options: options, limit: options.Initial}
 }
 
-// Limit is the most loads to keep in flight, at least 1.
+// Limit returns the maximum number of loads to keep in flight, at least 1.
 func (w *Window) Limit() int {
 	limit := w.limit
 	if w.probe != nil {
@@ -77,11 +80,11 @@
 	return max(1, int(math.Round(limit)))
 }
 
-// Base is the load time below the knee, 0 before the first load.
+// Base returns the load time below the knee, or 0 before the first load.
 func (w *Window) Base() time.Duration { return w.base }
 
-// Observe learns from a load that took the given time and began with inFlight
-// loads out, itself included.
+// Observe records a load that took the given time and began with inFlight loads in
+// flight, itself included.
 func (w *Window) Observe(took time.Duration, inFlight int, now time.Time) {
 	w.loads++
 	if w.base == 0 || took < w.base {
@@ -102,10 +105,10 @@
 }
 
 func (w *Window) shrink(took time.Duration, now time.Time) {
-	if now.Sub(w.shrunk) < took {
+	if now.Sub(w.shrunkAt) < took {
 		return
 	}
-	w.shrunk = now
+	w.shrunkAt = now
 	w.limit = max(1, w.limit*max(minShrink, float64(w.base)/float64(took)))
 }
 
@@ -115,8 +118,8 @@
 	w.probe = &probe{limit: limit, settling: w.Limit(), pending: int(math.Ceil(limit)) + 1}
 }
 
-// measureProbe ends the probe when enough loads ran at its lower limit; the
-// shortest of them is the new base.
+// measureProbe ends the probe when enough loads have run at its lower limit. The
+// shortest load time is the new base.
 func (w *Window) measureProbe(took time.Duration, now time.Time) {
 	p := w.probe
 	if p.settling > 0 {
@@ -130,5 +133,5 @@
 		return
 	}
 	w.base, w.probe = p.best, nil
-	w.shrunk = now
+	w.shrunkAt = now
 }
