--- a/coord/contract/contract.go
+++ b/coord/contract/contract.go
@@ -1,5 +1,5 @@
-// Package contract holds the aggregate from which every limit of a customer
-// follows. No other value in the system refuses a customer.
+// Package contract defines a customer's contract, which is the only source of the
+// limits that apply to the customer.
 package contract
 
 import (
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// Limits are the clauses that bound a customer's use across all entries.
+// Limits bound a customer's use across all entries.
 type Limits struct {
-	// RequestsPerSecond is the sustained rate of admitted requests.
+	// RequestsPerSecond is the maximum sustained rate of admitted requests.
 	RequestsPerSecond float64 `json:"requestsPerSecond"`
-	// TokensPerMinute bounds prompt and generated tokens together.
+	// TokensPerMinute bounds the sum of prompt and generated tokens.
 	TokensPerMinute int64 `json:"tokensPerMinute"`
-	// Concurrency is the most requests in flight at once.
+	// Concurrency is the maximum number of requests in flight.
 	Concurrency int `json:"concurrency"`
-	// MaxWait is the longest that a request may wait before it is refused; in
-	// JSON it is text with a unit, such as "10s".
+	// MaxWait is the maximum time that a request may wait before it is refused.
+	// In JSON it is a string with a unit, such as "10s".
 	MaxWait time.Duration `json:"maxWait"`
 }
 
-// Clause names one limit of a contract, as callers and operators read it.
+// Clause names one limit of a contract, as shown to callers and operators.
 type Clause string
 
 // The clauses that can refuse a request.
@@ -33,29 +33,31 @@
 	ClauseRetired           Clause = "retired"
 )
 
-// Contract is one customer's agreement.
+// Contract is the agreement with one customer.
 type Contract struct {
-	// ID names the contract; it never changes.
+	// ID identifies the contract. It never changes.
 	ID string `json:"id"`
-	// Revision is the log index of the change that wrote this state. A
-	// writer must name the revision that it read.
+	// Revision is the log index of the change that wrote this state. A writer
+	// must specify the revision that it read.
 	Revision uint64 `json:"revision"`
-	// Created is the log index of the change that created the contract; the
-	// replicated state sets it.
+	// Created is the log index of the change that created the contract. It is
+	// set by the replicated state.
 	Created uint64 `json:"created,omitempty"`
-	// KeyHashes are the hex SHA-256 digests of the caller keys.
+	// KeyHashes are the hex-encoded SHA-256 digests of the caller keys.
 	KeyHashes []string `json:"keyHashes"`
-	// Adapters lists allowed adapter names; a trailing '*' allows a prefix.
+	// Adapters lists the allowed adapter names. A trailing '*' allows all names
+	// with that prefix.
 	Adapters []string `json:"adapters"`
-	// Services lists allowed plain services by the same rule.
+	// Services lists the allowed plain services by the same rule.
 	Services []string `json:"services"`
 	Limits   Limits   `json:"limits"`
-	// Priority is from 0 to MaxPriority; higher is served sooner where
-	// requests wait, within the shares, and is passed on to engines.
+	// Priority is from 0 to MaxPriority. Waiting requests of higher priority are
+	// served sooner, within the shares. Priority is also passed on to engines.
 	Priority int `json:"priority"`
-	// Share is the weight in fair queueing when capacity is short, from 1 to MaxShare.
+	// Share is the weight in fair queueing when capacity is scarce, from 1 to MaxShare.
 	Share int `json:"share"`
-	// Retired contracts admit nothing and keep their ID.
+	// Retired is true if the contract is no longer in force. A retired contract
+	// admits no requests and keeps its ID.
 	Retired bool `json:"retired,omitempty"`
 }
 
--- a/coord/contract/contract_test.go
+++ b/coord/contract/contract_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestEveryFieldIsBounded(t *testing.T) {
+func TestValidateRejectsValuesOutOfBounds(t *testing.T) {
 	if err := sample().Validate(); err != nil {
 		t.Fatalf("the sample: %v", err)
 	}
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestCanonicalFormIsOneForOneAgreement(t *testing.T) {
+func TestEquivalentContractsHaveSameCanonicalForm(t *testing.T) {
 	a, b := sample(), sample()
 	a.Adapters = []string{"quote-draft", "costume-advice", "quote-draft"}
 	b.Adapters = []string{"costume-advice", "quote-draft"}
--- a/coord/contract/json_test.go
+++ b/coord/contract/json_test.go
@@ -9,9 +9,9 @@
 	"github.com/rosemarypass/rosemarypass/coord/contract"
 )
 
-// An operator writes 10 for ten seconds. Read as nanoseconds, it would have
-// every request refused as soon as it waits.
-func TestTheLongestWaitIsTextWithAUnit(t *testing.T) {
+// An operator writes 10 for ten seconds. If it were read as nanoseconds, every request
+// would be refused as soon as it waits.
+func TestMaxWaitIsStringWithUnit(t *testing.T) {
 	limits := contract.Limits{RequestsPerSecond: 2.5, TokensPerMinute: 1000, Concurrency: 3, MaxWait: 1500 * time.Millisecond}
 	data, err := json.Marshal(limits)
 	if err != nil || !strings.Contains(string(data), `"maxWait":"1.5s"`) {
--- a/coord/contract/rules.go
+++ b/coord/contract/rules.go
@@ -12,8 +12,7 @@
 )
 
 // Bounds of the clauses. They are far beyond any deployment that the system is
-// designed for, and keep a slip of the operator's hand, such as nanoseconds for
-// seconds, from being accepted.
+// designed for, and reject operator mistakes such as nanoseconds for seconds.
 const (
 	MinRequestsPerSecond = 0.001
 	MaxRequestsPerSecond = 1e6
@@ -23,22 +22,22 @@
 	MaxMaxWait           = 10 * time.Minute
 	MaxPriority          = 100
 	MaxShare             = 1000
-	// MaxPatterns bounds the allowed adapters, and the allowed services.
+	// MaxPatterns bounds the number of patterns in Adapters and in Services.
 	MaxPatterns = 10_000
 )
 
-// Validate reports the first rule that the contract breaks.
+// Validate returns an error for the first rule that the contract violates.
 func (c Contract) Validate() error {
 	if err := catalogue.CheckName(c.ID); err != nil {
 		return errors.Wrap(err, "contract id")
 	}
 	checks := []error{
-		within(ClauseRequestsPerSecond, c.Limits.RequestsPerSecond, MinRequestsPerSecond, MaxRequestsPerSecond),
-		within(ClauseTokensPerMinute, c.Limits.TokensPerMinute, 1, MaxTokensPerMinute),
-		within(ClauseConcurrency, c.Limits.Concurrency, 1, MaxConcurrency),
-		within(ClauseMaxWait, c.Limits.MaxWait, MinMaxWait, MaxMaxWait),
-		within("priority", c.Priority, 0, MaxPriority),
-		within("share", c.Share, 1, MaxShare),
+		checkRange(ClauseRequestsPerSecond, c.Limits.RequestsPerSecond, MinRequestsPerSecond, MaxRequestsPerSecond),
+		checkRange(ClauseTokensPerMinute, c.Limits.TokensPerMinute, 1, MaxTokensPerMinute),
+		checkRange(ClauseConcurrency, c.Limits.Concurrency, 1, MaxConcurrency),
+		checkRange(ClauseMaxWait, c.Limits.MaxWait, MinMaxWait, MaxMaxWait),
+		checkRange("priority", c.Priority, 0, MaxPriority),
+		checkRange("share", c.Share, 1, MaxShare),
 		checkPatterns("adapters", c.Adapters),
 		checkPatterns("services", c.Services),
 	}
@@ -50,17 +49,17 @@
 	return nil
 }
 
-// within refuses a value outside of the bounds. The comparison is written so
-// that it also refuses a float that is not a number.
-func within[T cmp.Ordered](clause Clause, value, least, most T) error {
-	if value >= least && value <= most {
+// checkRange returns an error if a value is out of bounds. The comparison is written
+// so that it also rejects NaN.
+func checkRange[T cmp.Ordered](clause Clause, value, lower, upper T) error {
+	if value >= lower && value <= upper {
 		return nil
 	}
 	var zero T
-	if value <= zero && least > zero {
+	if value <= zero && lower > zero {
 		return errors.Errorf("%s must be above 0", clause)
 	}
-	return errors.Errorf("%s must be from %v to %v, not %v", clause, least, most, value)
+	return errors.Errorf("%s must be from %v to %v, not %v", clause, lower, upper, value)
 }
 
 func checkPatterns(clause Clause, patterns []string) error {
@@ -79,8 +78,8 @@
 	return nil
 }
 
-// Canonical returns the contract with its lists sorted and without doubles, so
-// that two writings of the same agreement are equal.
+// Canonical returns the contract with its lists sorted and without duplicates, so that
+// equivalent contracts are equal.
 func (c Contract) Canonical() Contract {
 	c.KeyHashes = canonical(c.KeyHashes)
 	c.Adapters = canonical(c.Adapters)
