--- a/coord/fairqueue/fairqueue_test.go
+++ b/coord/fairqueue/fairqueue_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes rapid's seed, so that every run has the same verdict.
+// TestMain fixes rapid's seed, so that every run has the same result.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20261203", "rapid.checks": "1000", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -25,8 +25,8 @@
 
 var begin = time.Unix(1_000_000, 0)
 
-// naive is the same discipline without heaps: it searches everything each time.
-type naive struct {
+// referenceQueue implements the same discipline without heaps, by linear search.
+type referenceQueue struct {
 	options Options
 	waiting []Item
 	start   map[string]float64
@@ -34,7 +34,7 @@
 	virtual float64
 }
 
-func (n *naive) of(contract string) (items []Item, backlog float64) {
+func (n *referenceQueue) itemsOf(contract string) (items []Item, backlog float64) {
 	for _, item := range n.waiting {
 		if item.Contract == contract {
 			items = append(items, item)
@@ -44,19 +44,19 @@
 	return items, backlog
 }
 
-func (n *naive) push(item Item) (refused ID, isRefused bool) {
-	_, own := n.of(item.Contract)
+func (n *referenceQueue) push(item Item) (refused ID, isRefused bool) {
+	_, own := n.itemsOf(item.Contract)
 	if len(n.waiting) >= n.options.Limit {
 		longest, most := "", 0.0
 		for _, other := range n.waiting {
-			if _, backlog := n.of(other.Contract); backlog/float64(other.Share) > most {
+			if _, backlog := n.itemsOf(other.Contract); backlog/float64(other.Share) > most {
 				longest, most = other.Contract, backlog/float64(other.Share)
 			}
 		}
 		if (own+item.Cost)/float64(item.Share) >= most {
 			return item.ID, true
 		}
-		items, _ := n.of(longest)
+		items, _ := n.itemsOf(longest)
 		refused, isRefused = items[len(items)-1].ID, true
 		n.remove(refused)
 	}
@@ -67,7 +67,7 @@
 	return refused, isRefused
 }
 
-func (n *naive) remove(id ID) {
+func (n *referenceQueue) remove(id ID) {
 	n.waiting = slices.DeleteFunc(n.waiting, func(item Item) bool { return item.ID == id })
 	if len(n.waiting) == 0 {
 		n.virtual = 0
@@ -75,11 +75,11 @@
 	}
 }
 
-func (n *naive) pop() (Item, bool) {
+func (n *referenceQueue) pop() (Item, bool) {
 	best, at := math.Inf(1), -1
 	for i, item := range n.waiting {
 		head := min(n.options.MaxHeadStart, n.options.HeadStart*float64(item.Priority)) / float64(item.Share)
-		if items, _ := n.of(item.Contract); items[0].ID != item.ID {
+		if items, _ := n.itemsOf(item.Contract); items[0].ID != item.ID {
 			continue
 		}
 		if tag := n.start[item.Contract] - head; tag < best {
@@ -97,13 +97,13 @@
 	return item, true
 }
 
-func TestSameOrderAsTheNaiveQueue(t *testing.T) {
+func TestOrderMatchesReferenceQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		options := Options{Limit: 12, HeadStart: 16, MaxHeadStart: 64}
 		q := New(options)
-		n := &naive{options: options, start: make(map[string]float64), finish: make(map[string]float64)}
+		n := &referenceQueue{options: options, start: make(map[string]float64), finish: make(map[string]float64)}
 		shares := rapid.SliceOfN(rapid.SampledFrom([]int{1, 2, 4}), 5, 5).Draw(t, "shares")
-		// Costs are powers of two, so that both sides' sums are exact.
+		// Costs are powers of two, so that the sums of both queues are exact.
 		costs := rapid.SampledFrom([]float64{1, 2, 4, 32})
 		for id := ID(1); id < 150; id++ {
 			switch rapid.SampledFrom([]string{"push", "push", "pop", "remove"}).Draw(t, "event") {
@@ -113,13 +113,13 @@
 				refusal, refused := q.Push(item, begin)
 				want, wantRefused := n.push(item)
 				if refused != wantRefused || refusal.Item.ID != want {
-					t.Fatalf("push %d refused %d, naive %d", id, refusal.Item.ID, want)
+					t.Fatalf("push %d refused %d, reference %d", id, refusal.Item.ID, want)
 				}
 			case "pop":
 				got, _ := q.Pop()
 				want, _ := n.pop()
 				if got.ID != want.ID {
-					t.Fatalf("popped %d, naive %d", got.ID, want.ID)
+					t.Fatalf("popped %d, reference %d", got.ID, want.ID)
 				}
 			case "remove":
 				if len(n.waiting) > 0 {
@@ -129,14 +129,14 @@
 				}
 			}
 			if q.Len() != len(n.waiting) || len(q.flows) > q.Len()+len(shares) {
-				t.Fatalf("%d wait, %d flows; naive %d", q.Len(), len(q.flows), len(n.waiting))
+				t.Fatalf("%d wait, %d flows; reference %d", q.Len(), len(q.flows), len(n.waiting))
 			}
 		}
 	})
 }
 
-// serve keeps contracts backlogged, each with its own size of request, and
-// returns the cost served by contract.
+// serve keeps contracts backlogged, each with its own request cost, and returns the cost
+// served by contract.
 func serve(shares, priorities []int, costs []float64, rounds int) []float64 {
 	q := New(Options{Limit: 10_000, HeadStart: 10, MaxHeadStart: 40})
 	id := ID(0)
@@ -159,9 +159,9 @@
 	return served
 }
 
-// Service in the fluid model is exactly by shares. The queue serves whole
-// requests, so it may differ by one request of either contract and by the head
-// start, however long it runs.
+// In the fluid model service is exactly proportional to the shares. The queue serves
+// whole requests, so it may differ by one request of either contract and by the head
+// start, regardless of how long it runs.
 func TestBackloggedContractsGetTheirShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 8).Draw(t, "contracts")
@@ -181,7 +181,7 @@
 	})
 }
 
-// jain is Jain's fairness index of service for each share.
+// jain returns Jain's fairness index of the service relative to the shares.
 func jain(served []float64, shares []int) float64 {
 	var sum, squares float64
 	for i, s := range served {
@@ -206,9 +206,9 @@
 	}
 }
 
-// One contract floods a full queue. Were new requests refused as they come,
-// others would be refused for what the flood takes.
-func TestFloodIsRefusedItself(t *testing.T) {
+// One contract floods the queue. If new requests to a full queue were always refused,
+// other contracts would be refused because of the flood.
+func TestFloodingContractIsRefused(t *testing.T) {
 	q := New(Options{Limit: 4})
 	for id := range ID(4) {
 		q.Push(Item{ID: id, Contract: "flood", Share: 1, Cost: 1, Deadline: begin.Add(time.Hour)}, begin)
