--- a/coord/residency/pace.go
+++ b/coord/residency/pace.go
@@ -2,100 +2,101 @@
 
 import "time"
 
-// pace spreads the prompts that an engine reads. An engine reads prompts in
-// pieces between the tokens of its other requests; several long ones at once
-// stretch every pause of every stream there. Callers would notice halts of a
-// third of a second in the middle of fluent answers.
+// pacer spreads the prompts that an engine reads (prefill). An engine reads
+// prompts in chunks between the decoding steps of its other requests; several
+// long prompts at once lengthen every pause of every stream on it. Callers
+// would see fluent answers halt for a third of a second.
 //
-// Prompts are started no faster than a share of the engine's reading rate,
-// which is learned from prompts that were read alone, and until there are enough
-// of these from all that it read without a pause. Before anything is known
-// prompts are not held up: after a restart there are no streams to halt, and
-// many callers wait for their first event.
-type pace struct {
+// Prompts are started no faster than a share of the engine's read rate. The
+// rate is estimated from prompts that were read alone, and until there are
+// enough of these from all prompts that were read back to back. While the rate
+// is unknown, prompts are not delayed: after a restart there are no streams to
+// halt, and many callers wait for their first event.
+type pacer struct {
 	fit fit
-	// busySince is when the engine began to read prompts, behind a pause, and
-	// busyRead the tokens that it has read since. busyRate is what that gave, in
-	// tokens a millisecond; 0 while unknown.
+	// busySince is when the engine began to read prompts after a pause, and
+	// busyRead the tokens that it has read since. busyRate is the resulting rate
+	// in tokens per millisecond; 0 while unknown.
 	busySince time.Time
 	busyRead  int
 	busyRate  float64
-	// readUntil is when the prompts that were started will have been read at
-	// the paced rate.
+	// readUntil is when the engine will have read all started prompts at the
+	// paced rate.
 	readUntil time.Time
 }
 
 const (
-	// leastBusy is how many tokens must have been read without a pause before they
-	// tell a rate, and busyWeight the weight of the newest such rate.
-	leastBusy  = 2000
-	busyWeight = 0.3
-	// readShare is the share of the rate that prompts may take while little
-	// waits. With r of it taken, a pause of three steps of s ms lasts 3s/(1-r) ms
-	// at most: 0.7 keeps steps of 12 to 20 ms within 200 ms.
-	readShare = 0.7
-	// rushFrom and rushBy are the waits between which the share rises to the most
-	// that streams bear.
-	rushFrom = 300 * time.Millisecond
-	rushBy   = 1200 * time.Millisecond
-	// burst may be started beyond the pace: the reading of a prompt begins with
-	// the step that is under way.
+	// minBusyTokens is how many tokens must have been read without a pause before
+	// they give a rate, and busyWeight is the weight of the newest such rate.
+	minBusyTokens = 2000
+	busyWeight    = 0.3
+	// minReadShare is the share of the read rate that prompts may take while the
+	// backlog is small. With a share r taken, a pause of three steps of s ms
+	// lasts at most 3s/(1-r) ms: 0.7 keeps steps of 12 to 20 ms within 200 ms.
+	minReadShare = 0.7
+	// backlogLow and backlogHigh are the backlogs between which the share rises
+	// to the maximum that streams tolerate.
+	backlogLow  = 300 * time.Millisecond
+	backlogHigh = 1200 * time.Millisecond
+	// burst is how far ahead of the pace a prompt may start: reading it begins
+	// with the step in progress.
 	burst = 15 * time.Millisecond
-	// slowest and fastest bound the rate that samples may claim.
-	slowest = 2.0
-	fastest = 200.0
+	// minRate and maxRate bound the estimated rate, in tokens per millisecond.
+	minRate = 2.0
+	maxRate = 200.0
 )
 
-// fit estimates how long a prompt takes as a constant and a time a token, by
-// least squares over samples whose weights fade.
+// fit estimates the time to read a prompt as a constant plus a time per token,
+// by least squares over samples with exponentially decaying weights.
 type fit struct {
 	weight, n, t, nn, nt float64
 }
 
 const (
-	// fade is what is left of a sample's weight with each newer one: some fifty
-	// samples decide.
-	fade = 0.98
-	// leastSpread is the spread of prompt sizes, in tokens, below which samples
-	// cannot tell the constant from the rate.
-	leastSpread = 150.0
-	// leastSamples is the weight from which the fit counts.
-	leastSamples = 6.0
+	// decay is the factor by which each new sample reduces the weight of the
+	// older ones: about fifty samples determine the fit.
+	decay = 0.98
+	// minSpread is the standard deviation of prompt sizes, in tokens, below which
+	// samples cannot separate the constant from the rate.
+	minSpread = 150.0
+	// minWeight is the total sample weight from which the fit is used.
+	minWeight = 6.0
 )
 
 func (f *fit) add(tokens int, took time.Duration) {
 	n, t := float64(tokens), float64(took)/float64(time.Millisecond)
-	f.weight = f.weight*fade + 1
-	f.n = f.n*fade + n
-	f.t = f.t*fade + t
-	f.nn = f.nn*fade + n*n
-	f.nt = f.nt*fade + n*t
+	f.weight = f.weight*decay + 1
+	f.n = f.n*decay + n
+	f.t = f.t*decay + t
+	f.nn = f.nn*decay + n*n
+	f.nt = f.nt*decay + n*t
 }
 
-// rate is in tokens a millisecond; 0 while unknown.
+// rate returns the rate in tokens per millisecond; 0 while unknown.
 func (f *fit) rate() float64 {
-	if f.weight < leastSamples {
+	if f.weight < minWeight {
 		return 0
 	}
 	meanN, meanT := f.n/f.weight, f.t/f.weight
 	variance := f.nn/f.weight - meanN*meanN
 	slope := (f.nt/f.weight - meanN*meanT) / max(variance, 1)
-	if variance < leastSpread*leastSpread || slope <= 0 {
+	if variance < minSpread*minSpread || slope <= 0 {
 		return 0
 	}
-	return min(max(1/slope, slowest), fastest)
+	return min(max(1/slope, minRate), maxRate)
 }
 
-// rate is in tokens a millisecond; 0 while unknown.
-func (p *pace) rate() float64 {
+// rate returns the rate in tokens per millisecond; 0 while unknown.
+func (p *pacer) rate() float64 {
 	if rate := p.fit.rate(); rate > 0 {
 		return rate
 	}
 	return p.busyRate
 }
 
-// cost is how long a prompt takes at the paced rate, 0 while that is unknown.
-func (p *pace) cost(prompt int, share float64) time.Duration {
+// cost returns the time to read a prompt at the given share of the rate, 0
+// while the rate is unknown.
+func (p *pacer) cost(prompt int, share float64) time.Duration {
 	rate := p.rate()
 	if rate <= 0 {
 		return 0
@@ -103,14 +104,14 @@
 	return time.Duration(float64(prompt) / (rate * share) * float64(time.Millisecond))
 }
 
-// read counts a prompt that was read while the engine was busy with prompts.
-func (p *pace) read(prompt int, now time.Time) {
+// recordRead records that a prompt was read during the current busy period.
+func (p *pacer) recordRead(prompt int, now time.Time) {
 	p.busyRead += prompt
 	took := float64(now.Sub(p.busySince)) / float64(time.Millisecond)
-	if p.busyRead < leastBusy || took <= 0 {
+	if p.busyRead < minBusyTokens || took <= 0 {
 		return
 	}
-	rate := min(max(float64(p.busyRead)/took, slowest), fastest)
+	rate := min(max(float64(p.busyRead)/took, minRate), maxRate)
 	if p.busyRate == 0 {
 		p.busyRate = rate
 		return
@@ -118,42 +119,44 @@
 	p.busyRate += busyWeight * (rate - p.busyRate)
 }
 
-// kept is what stays known when the engine restarts: it is the same machine.
-func (p *pace) kept() pace { return pace{fit: p.fit, busyRate: p.busyRate} }
+// retained returns what remains valid after a restart of the engine: it runs on
+// the same machine.
+func (p *pacer) retained() pacer { return pacer{fit: p.fit, busyRate: p.busyRate} }
 
-// opens is when the next prompt may start.
-func (p *pace) opens() time.Time { return p.readUntil.Add(-burst) }
+// nextStart returns when the next prompt may start.
+func (p *pacer) nextStart() time.Time { return p.readUntil.Add(-burst) }
 
-func (p *pace) start(prompt int, share float64, now time.Time) {
+func (p *pacer) start(prompt int, share float64, now time.Time) {
 	if p.readUntil.Before(now) {
 		p.readUntil = now
 	}
 	p.readUntil = p.readUntil.Add(p.cost(prompt, share))
 }
 
-// share is the part of the reading rate that prompts may take now.
+// share returns the share of the read rate that prompts may take now.
 func (t *Table) share() float64 {
 	var backlog time.Duration
 	for i := range t.waiting {
-		backlog += t.pace.cost(t.unread(&t.waiting[i]), readShare)
+		backlog += t.pacer.cost(t.unread(&t.waiting[i]), minReadShare)
 	}
-	rush := float64(backlog-rushFrom) / float64(rushBy-rushFrom)
-	return readShare + (t.pauses.most()-readShare)*min(max(rush, 0), 1)
+	fraction := float64(backlog-backlogLow) / float64(backlogHigh-backlogLow)
+	return minReadShare + (t.pauses.maxShare()-minReadShare)*min(max(fraction, 0), 1)
 }
 
-// Ranks is how many ranks Delay tells apart.
+// Ranks is the number of ranks that Delay distinguishes.
 const Ranks = 3
 
-// Delay is how long a request of each rank that came now would wait for its
-// start, apart from its adapter. The last one holds for all higher ranks.
+// Delay returns how long a request of each rank that arrived now would wait for
+// its start, not counting its adapter's load. The last entry applies to all
+// higher ranks.
 func (t *Table) Delay(now time.Time) [Ranks]time.Duration {
 	var delay [Ranks]time.Duration
-	opens, share := max(t.pace.opens().Sub(now), 0), t.share()
+	wait, share := max(t.pacer.nextStart().Sub(now), 0), t.share()
 	for rank := range delay {
-		delay[rank] = opens
+		delay[rank] = wait
 	}
 	for i := range t.waiting {
-		cost := t.pace.cost(t.unread(&t.waiting[i]), share)
+		cost := t.pacer.cost(t.unread(&t.waiting[i]), share)
 		for rank := min(t.waiting[i].Rank, Ranks-1); rank < Ranks; rank++ {
 			delay[rank] += cost
 		}
@@ -161,35 +164,34 @@
 	return delay
 }
 
-// PromptCost is how long the start of a prompt of 1,000 tokens keeps others
-// from starting.
-func (t *Table) PromptCost() time.Duration { return t.pace.cost(1000, t.share()) }
+// PromptCost returns how long the start of a prompt of 1,000 tokens delays
+// other starts.
+func (t *Table) PromptCost() time.Duration { return t.pacer.cost(1000, t.share()) }
 
-// Next is when Tick could start a request that waits for its turn; zero when
-// none does.
+// Next returns when Tick could start a waiting request; zero when none waits.
 func (t *Table) Next() time.Time {
 	if len(t.waiting) == 0 {
 		return time.Time{}
 	}
-	return t.pace.opens()
+	return t.pacer.nextStart()
 }
 
-// Begun tells that a started request has produced its first event: its prompt
-// is read.
+// Begun records that a started request has produced its first event, which
+// means that its prompt is read.
 func (t *Table) Begun(id string, now time.Time) {
 	s, ok := t.started[id]
 	if !ok || s.begun {
 		return
 	}
 	s.begun, s.seen = true, true
-	t.keep(s)
-	t.pace.read(s.prompt, now)
+	t.rememberParts(s)
+	t.pacer.recordRead(s.prompt, now)
 	if s.alone {
-		t.pace.fit.add(s.prompt, now.Sub(s.at))
+		t.pacer.fit.add(s.prompt, now.Sub(s.at))
 	}
 }
 
-// reading is true while another started prompt is being read.
+// reading reports whether a started prompt is still being read.
 func (t *Table) reading() bool {
 	for _, s := range t.started {
 		if !s.begun {
@@ -199,8 +201,8 @@
 	return false
 }
 
-// disturb marks the prompts that are being read as not read alone.
-func (t *Table) disturb() {
+// clearAlone marks the prompts that are being read as not read alone.
+func (t *Table) clearAlone() {
 	for _, s := range t.started {
 		if !s.begun {
 			s.alone = false
--- a/coord/residency/parts.go
+++ b/coord/residency/parts.go
@@ -1,18 +1,18 @@
 package residency
 
-// Part is a part of a prompt that requests of an adapter may share.
+// Part is a part of a prompt that requests for the same adapter may share.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
 // maxParts bounds the parts that are remembered for one adapter. An engine
-// keeps far fewer of the shared ones.
+// caches far fewer shared ones.
 const maxParts = 128
 
-// unread is the number of tokens of a prompt that the engine has to read: parts
-// that it has read for the adapter before are still kept, as long as all parts
-// before them are.
+// unread returns the number of prompt tokens that the engine has to read. A
+// part that the engine has read for the adapter before is still cached as long
+// as all parts before it are.
 func (t *Table) unread(r *Request) int {
 	left := r.Prompt
 	known := t.parts[r.Adapter]
@@ -25,9 +25,9 @@
 	return max(left, 0)
 }
 
-// keep remembers the parts of a prompt that was read; the last one is the
-// request's own.
-func (t *Table) keep(s *started) {
+// rememberParts remembers the parts of a prompt that was read, except the last
+// one, which is specific to the request.
+func (t *Table) rememberParts(s *startedRequest) {
 	known := t.parts[s.adapter]
 	if known == nil || len(known) > maxParts {
 		known = make(map[string]bool)
--- a/coord/residency/pauses.go
+++ b/coord/residency/pauses.go
@@ -2,46 +2,50 @@
 
 import "time"
 
-// pauses learns from the pauses that callers saw in their streams how much of
-// the engine's reading rate prompts may take where many wait.
+// pauses adapts the share of the engine's read rate that prompts may take under
+// a large backlog to the pauses that callers observed in their streams.
 //
-// The load that it answers: a queue of prompts at an engine with a full batch.
-// Read as fast as it can, they halt every stream there for longer than its
-// route allows, and all of these are late; read too slowly, the queue is. Which
-// share does it depends on the engine's steps and on the route, and shows in the
-// pauses only.
+// It addresses a queue of prompts at an engine with a full batch. When prompts
+// are read at full rate, they halt every stream on the engine for longer than
+// its route allows, and all of these answers are late; when prompts are read
+// too slowly, the queued requests are late. The right share depends on the
+// engine's step times and on the route, and can only be derived from the
+// pauses.
 type pauses struct {
-	// below is how far the share is below rushShare.
-	below float64
+	// reduction is how far the maximum share is below maxReadShare.
+	reduction float64
 }
 
 const (
-	// rushShare is the most of the reading rate that prompts may take where much
-	// waits; the least is what they take where little does.
-	rushShare = 0.95
-	// firstBelow is where it begins.
-	firstBelow = 0.1
-	// pauseDown and pauseUp move the share with each stream that had a pause that
-	// was too long and with each one that had none: some three in a hundred do.
-	pauseDown = 0.03
-	pauseUp   = 0.001
+	// maxReadShare is the maximum share of the read rate that prompts may take
+	// under a large backlog; minReadShare is the share under a small one.
+	maxReadShare = 0.95
+	// initialReduction is the initial value of pauses.reduction.
+	initialReduction = 0.1
+	// shareDecrease is applied for each stream with a pause above the allowed
+	// one, shareIncrease for each stream without: in equilibrium about 3% of the
+	// streams have too long a pause.
+	shareDecrease = 0.03
+	shareIncrease = 0.001
 )
 
-// note takes the longest pause of a stream and the one that its route allows.
-func (p *pauses) note(longest, allowed time.Duration) {
+// observe records the longest pause of a stream and the pause that its route
+// allows.
+func (p *pauses) observe(longest, allowed time.Duration) {
 	if allowed <= 0 {
 		return
 	}
 	if longest > allowed {
-		p.below = min(p.below+pauseDown, rushShare-readShare)
+		p.reduction = min(p.reduction+shareDecrease, maxReadShare-minReadShare)
 		return
 	}
-	p.below = max(p.below-pauseUp, 0)
+	p.reduction = max(p.reduction-shareIncrease, 0)
 }
 
-// most is the share of the reading rate that prompts may take where much waits.
-func (p *pauses) most() float64 { return rushShare - p.below }
+// maxShare returns the share of the read rate that prompts may take under a
+// large backlog.
+func (p *pauses) maxShare() float64 { return maxReadShare - p.reduction }
 
-// Paused tells of the longest pause in a stream that has ended, and of the one
+// Paused records the longest pause in a stream that has ended, and the pause
 // that its route allows.
-func (t *Table) Paused(longest, allowed time.Duration) { t.pauses.note(longest, allowed) }
+func (t *Table) Paused(longest, allowed time.Duration) { t.pauses.observe(longest, allowed) }
--- a/coord/residency/pauses_test.go
+++ b/coord/residency/pauses_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Engines differ in how long a pause a full reading rate makes. Where streams halt for too long the prompts must be
-// read more slowly; where none does, nothing may hold the queue up.
-func TestPromptsAreReadAsFastAsStreamsBear(t *testing.T) {
+// Engines differ in the length of the pauses that a full read rate causes. Where streams halt for too long, prompts
+// must be read more slowly; where none does, reading must not be limited further.
+func TestMaxShareAdaptsToPauses(t *testing.T) {
 	const allowed = 300 * time.Millisecond
 	tests := []struct {
 		name string
-		// bears is the share from which streams halt for too long.
-		bears, from, to float64
+		// tolerated is the share from which streams halt for too long.
+		tolerated, from, to float64
 	}{
-		{"an engine with short steps", 2, 0.94, 0.96},
-		{"an engine with long steps", 0.8, 0.75, 0.88},
-		{"an engine that bears next to nothing", 0.1, readShare - 0.01, readShare + 0.01},
+		{"engine with short steps", 2, 0.94, 0.96},
+		{"engine with long steps", 0.8, 0.75, 0.88},
+		{"engine that tolerates almost no reading", 0.1, minReadShare - 0.01, minReadShare + 0.01},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -27,8 +27,8 @@
 			const streams = 3000
 			for i := range streams {
 				longest := 100 * time.Millisecond
-				// A stream halts with a chance that grows with what is too much.
-				if over := table.pauses.most() - test.bears; random.Float64() < 5*over {
+				// The probability that a stream halts grows with the excess over the tolerated share.
+				if over := table.pauses.maxShare() - test.tolerated; random.Float64() < 5*over {
 					longest = 500 * time.Millisecond
 					if i > streams/2 {
 						halted++
@@ -36,10 +36,10 @@
 				}
 				table.Paused(longest, allowed)
 			}
-			if got := table.pauses.most(); got < test.from || got > test.to {
-				t.Errorf("prompts take %.2f of the rate, want %.2f to %.2f", got, test.from, test.to)
+			if got := table.pauses.maxShare(); got < test.from || got > test.to {
+				t.Errorf("prompts may take %.2f of the rate, want %.2f to %.2f", got, test.from, test.to)
 			}
-			if test.bears > readShare && halted > streams/2*6/100 {
+			if test.tolerated > minReadShare && halted > streams/2*6/100 {
 				t.Errorf("%d of %d streams halted for too long", halted, streams/2)
 			}
 		})
@@ -47,6 +47,6 @@
 	table := New(options())
 	before := table.pauses
 	if table.Paused(time.Hour, 0); table.pauses != before {
-		t.Error("a route that allows any pause says something of it")
+		t.Error("a stream of a route without a pause limit changed the share")
 	}
 }
--- a/coord/residency/plan.go
+++ b/coord/residency/plan.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// plan starts what can start and orders what the rest needs.
+// plan starts the requests that can start and orders the adapters that the
+// others need.
 func (t *Table) plan(now time.Time) []Action {
 	actions := t.replaceOutdated(now)
-	t.noteLate(now)
-	t.order(now)
+	t.markLate(now)
+	t.sortWaiting(now)
 	kept := t.waiting[:0]
 	for _, r := range t.waiting {
 		if now.After(r.Latest) {
@@ -27,14 +28,13 @@
 	t.waiting = kept
 	wanted := t.wanted()
 	for _, adapter := range byDemand(t.waiting, wanted) {
-		actions = append(actions, t.provide(adapter, wanted, now)...)
+		actions = append(actions, t.ensureLoaded(adapter, wanted, now)...)
 	}
 	return actions
 }
 
-// byDemand lists the adapters that are waited for, those that most requests
-// wait for first: while the store is slow each load should serve as many as it
-// can.
+// byDemand lists the adapters that requests wait for, most requested first:
+// while the store is slow, each load should serve as many requests as possible.
 func byDemand(waiting []Request, wanted map[string]int) []string {
 	var adapters []string
 	for i := range waiting {
@@ -46,19 +46,19 @@
 	return adapters
 }
 
-// order sorts what waits: by rank, then those that can still be in time, then
-// as they came. A request that is late already loses less by another second
-// than one that would become late.
-func (t *Table) order(now time.Time) {
+// sortWaiting sorts the waiting requests by rank, then those that can still
+// meet their target first, then by arrival. A request that is already late
+// loses less by waiting another second than one that would become late.
+func (t *Table) sortWaiting(now time.Time) {
 	slices.SortStableFunc(t.waiting, func(a, b Request) int {
 		if d := cmp.Compare(a.Rank, b.Rank); d != 0 {
 			return d
 		}
-		return boolOrder(t.tooLate(&a, now), t.tooLate(&b, now))
+		return compareBool(t.missesTarget(&a, now), t.missesTarget(&b, now))
 	})
 }
 
-func boolOrder(a, b bool) int {
+func compareBool(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -69,15 +69,16 @@
 	}
 }
 
-// firstEvent is what an engine takes for the first event beside reading.
-const firstEvent = 70 * time.Millisecond
+// firstEventLatency is the time an engine takes to the first event, apart from
+// reading the prompt.
+const firstEventLatency = 70 * time.Millisecond
 
-// tooLate is true when a start now would miss the request's target.
-func (t *Table) tooLate(r *Request, now time.Time) bool {
+// missesTarget reports whether a start now would miss the request's target.
+func (t *Table) missesTarget(r *Request, now time.Time) bool {
 	if r.Target.IsZero() {
 		return false
 	}
-	return now.Add(firstEvent + t.pace.cost(t.unread(r), 1)).After(r.Target)
+	return now.Add(firstEventLatency + t.pacer.cost(t.unread(r), 1)).After(r.Target)
 }
 
 // wanted counts the waiting requests by adapter.
@@ -89,10 +90,11 @@
 	return wanted
 }
 
-// canRun is true while the batch and the memory have room. A request that is
-// larger than the memory is let through alone: the engine refuses it itself.
+// canRun reports whether the pace, the batch and the memory have room for the
+// request. A request that is larger than the memory may start alone: the engine
+// itself refuses it.
 func (t *Table) canRun(r *Request, now time.Time) bool {
-	if len(t.started) >= t.room(r, now) || now.Before(t.pace.opens()) {
+	if len(t.started) >= t.batchLimit(r, now) || now.Before(t.pacer.nextStart()) {
 		return false
 	}
 	return t.tokens+r.Tokens <= t.options.MemoryTokens || len(t.started) == 0
@@ -102,157 +104,159 @@
 	if r.Adapter == "" {
 		return true
 	}
-	p := t.places[r.Adapter]
-	return p != nil && t.startable(r.Adapter, p, now)
+	a := t.adapters[r.Adapter]
+	return a != nil && t.startable(r.Adapter, a, now)
 }
 
-// startable is true when a request that starts now meets an acceptable version.
-func (t *Table) startable(name string, p *place, now time.Time) bool {
-	if p.version == absent || p.loading || p.unloading {
+// startable reports whether a request that starts now runs on an acceptable
+// version.
+func (t *Table) startable(name string, a *adapterState, now time.Time) bool {
+	if a.version == absent || a.loading || a.unloading {
 		return false
 	}
 	n := t.newest[name]
-	return p.version >= n.version || now.Sub(n.at) < t.options.Grace
+	return a.version >= n.version || now.Sub(n.at) < t.options.Grace
 }
 
 func (t *Table) start(r *Request, now time.Time) Action {
 	share := t.share()
 	alone := !t.reading()
 	if alone {
-		t.pace.busySince, t.pace.busyRead = now, 0
+		t.pacer.busySince, t.pacer.busyRead = now, 0
 	}
-	t.disturb()
+	t.clearAlone()
 	prompt := t.unread(r)
-	t.started[r.ID] = &started{adapter: r.Adapter, prompt: prompt, tokens: r.Tokens, parts: r.Parts, at: now, alone: alone}
-	t.pace.start(prompt, share, now)
+	t.started[r.ID] = &startedRequest{adapter: r.Adapter, prompt: prompt, tokens: r.Tokens, parts: r.Parts, at: now, alone: alone}
+	t.pacer.start(prompt, share, now)
 	t.tokens += r.Tokens
 	version := int64(0)
-	if p := t.places[r.Adapter]; p != nil {
-		p.pins++
-		p.touch(now, 1)
-		version = p.version
+	if a := t.adapters[r.Adapter]; a != nil {
+		a.pins++
+		a.touch(now, 1)
+		version = a.version
 	}
 	return Start{ID: r.ID, Version: version}
 }
 
-// provide brings an adapter closer to being held.
-func (t *Table) provide(name string, wanted map[string]int, now time.Time) []Action {
-	if p := t.places[name]; p != nil {
-		return t.renew(name, p, wanted, now)
+// ensureLoaded takes the next step toward the engine holding an adapter.
+func (t *Table) ensureLoaded(name string, wanted map[string]int, now time.Time) []Action {
+	if a := t.adapters[name]; a != nil {
+		return t.reload(name, a, wanted, now)
 	}
 	if !t.mayOrder(now) {
 		return nil
 	}
 	if t.occupied() < t.options.Places {
-		t.places[name] = &place{version: absent, loading: true, since: now, usedAt: now}
+		t.adapters[name] = &adapterState{version: absent, loading: true, since: now, usedAt: now}
 		return []Action{Load{Adapter: name, Version: t.newest[name].version}}
 	}
-	return t.makeRoom(wanted, now)
+	return t.evict(wanted, now)
 }
 
-// renew orders again what was lost on the way, and replaces an outdated
-// version that may not start any more.
-func (t *Table) renew(name string, p *place, wanted map[string]int, now time.Time) []Action {
-	if p.loading || p.unloading && now.Sub(p.since) < orderPatience {
+// reload repeats orders that were lost, and replaces an outdated version on
+// which requests may no longer start.
+func (t *Table) reload(name string, a *adapterState, wanted map[string]int, now time.Time) []Action {
+	if a.loading || a.unloading && now.Sub(a.since) < orderTimeout {
 		return nil
 	}
-	p.unloading = false
-	if t.startable(name, p, now) || p.version != absent && !t.free(p) {
+	a.unloading = false
+	if t.startable(name, a, now) || a.version != absent && !t.idle(a) {
 		return nil
 	}
-	// An adapter that is gone, and whose place stands for the requests that
-	// started on it, needs a place at the engine as any other does.
-	if p.version == absent && t.occupied() >= t.options.Places {
-		return t.makeRoom(wanted, now)
+	// An adapter that is gone but still tracked for the requests that started on
+	// it needs free capacity at the engine like any other load.
+	if a.version == absent && t.occupied() >= t.options.Places {
+		return t.evict(wanted, now)
 	}
-	p.loading, p.since = true, now
+	a.loading, a.since = true, now
 	return []Action{Load{Adapter: name, Version: t.newest[name].version}}
 }
 
-// occupied counts the places that the engine has filled or is about to fill.
+// occupied counts the adapters that the engine holds or is about to hold.
 func (t *Table) occupied() int {
 	n := 0
-	for _, p := range t.places {
-		if p.version != absent || p.loading {
+	for _, a := range t.adapters {
+		if a.version != absent || a.loading {
 			n++
 		}
 	}
 	return n
 }
 
-// replaceOutdated orders newer versions where no request is in the way: a
-// replacement waits for the adapter's runs, and while it waits the engine takes
-// no other order. Once the grace has passed nothing starts on the old version
-// any more, so that its runs end.
+// replaceOutdated orders a newer version of an adapter once no request uses the
+// old one: a replacement waits for the adapter's running requests, and the
+// engine accepts no other order while it waits. After the grace period no
+// request starts on the old version, so its running requests come to an end.
 func (t *Table) replaceOutdated(now time.Time) []Action {
 	if !t.mayOrder(now) {
 		return nil
 	}
 	for _, name := range t.sortedNames() {
-		p, n := t.places[name], t.newest[name]
-		if p.version == absent || p.version >= n.version || p.loading || p.unloading || !t.free(p) {
+		a, n := t.adapters[name], t.newest[name]
+		if a.version == absent || a.version >= n.version || a.loading || a.unloading || !t.idle(a) {
 			continue
 		}
-		p.loading, p.since = true, now
+		a.loading, a.since = true, now
 		return []Action{Load{Adapter: name, Version: n.version}}
 	}
 	return nil
 }
 
-// mayOrder is false while the engine replaces a version, and shortly after it
-// has refused an order: it would refuse others too.
+// mayOrder reports whether an order may be given. The engine refuses all orders
+// while it replaces a version, and most likely for a short time after it
+// refused one.
 func (t *Table) mayOrder(now time.Time) bool {
 	if now.Before(t.refusedUntil) {
 		return false
 	}
-	for _, p := range t.places {
-		if p.loading && p.version != absent {
+	for _, a := range t.adapters {
+		if a.loading && a.version != absent {
 			return false
 		}
 	}
-	return t.loadsUnderWay() < t.options.Loads
+	return t.pendingLoads() < t.options.Loads
 }
 
-// makeRoom unloads the adapter whose recent use is worth least, if one is idle
-// and no unload is under way already.
-func (t *Table) makeRoom(wanted map[string]int, now time.Time) []Action {
+// evict unloads the idle adapter with the lowest decayed use, if there is one
+// and no unload is in progress.
+func (t *Table) evict(wanted map[string]int, now time.Time) []Action {
 	victim := ""
 	for _, name := range t.sortedNames() {
-		p := t.places[name]
-		if p.unloading && now.Sub(p.since) < orderPatience {
+		a := t.adapters[name]
+		if a.unloading && now.Sub(a.since) < orderTimeout {
 			return nil
 		}
-		if !t.free(p) || p.loading || wanted[name] > 0 || p.version == absent {
+		if !t.idle(a) || a.loading || wanted[name] > 0 || a.version == absent {
 			continue
 		}
-		if victim == "" || p.worth(now) < t.places[victim].worth(now) {
+		if victim == "" || a.decayedUse(now) < t.adapters[victim].decayedUse(now) {
 			victim = name
 		}
 	}
 	if victim == "" {
 		return nil
 	}
-	p := t.places[victim]
-	p.unloading, p.since = true, now
+	a := t.adapters[victim]
+	a.unloading, a.since = true, now
 	return []Action{Unload{Adapter: victim}}
 }
 
-// LoadBacklog is how many loads have to end before the one of an adapter that
-// is asked for now can begin.
+// LoadBacklog returns how many loads have to end before the load of an adapter
+// that is requested now can begin.
 func (t *Table) LoadBacklog() int {
-	backlog := t.loadsUnderWay()
+	backlog := t.pendingLoads()
 	for name := range t.wanted() {
-		if p := t.places[name]; name != "" && (p == nil || p.version == absent && !p.loading) {
+		if a := t.adapters[name]; name != "" && (a == nil || a.version == absent && !a.loading) {
 			backlog++
 		}
 	}
 	return backlog
 }
 
-func (t *Table) loadsUnderWay() int {
+func (t *Table) pendingLoads() int {
 	n := 0
-	for _, p := range t.places {
-		if p.loading {
+	for _, a := range t.adapters {
+		if a.loading {
 			n++
 		}
 	}
--- a/coord/residency/report.go
+++ b/coord/residency/report.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// Report is what the engine says of itself.
+// Report is the state that the engine reports.
 type Report struct {
-	// Held are the adapters it holds with their versions.
+	// Held maps the adapters that the engine holds to their versions.
 	Held map[string]int64
-	// Coming are the adapters on their way, with their versions.
+	// Coming maps the adapters that the engine is loading to their versions.
 	Coming map[string]int64
-	// Runs are the requests that it runs.
+	// Runs holds the IDs of the running requests.
 	Runs map[string]bool
-	// Waiting is the number of requests that wait at the engine.
+	// Waiting is the number of requests queued at the engine.
 	Waiting int
-	// Asked is when the report was asked for; orders given later may not show.
+	// Asked is when the report was requested; later orders may not show in it.
 	Asked time.Time
 }
 
 const (
-	// unseenPatience is how long a started request may stay out of the reports
-	// before its end is assumed: an entry that died cannot tell.
-	unseenPatience = 3 * time.Second
-	// missingReports is how many reports in a row must lack a request that was
+	// unseenTimeout is how long a started request may be missing from the reports
+	// before it is assumed to have ended: an entry that crashed cannot report the
+	// end.
+	unseenTimeout = 3 * time.Second
+	// missingReports is how many consecutive reports must lack a request that was
 	// seen before.
 	missingReports = 3
 )
 
-// Take makes the table agree with the engine's report.
+// Take reconciles the table with the engine's report.
 func (t *Table) Take(r Report, now time.Time) []Action {
 	for name, version := range r.Held {
-		if t.places[name] == nil && !r.Asked.After(t.unloaded[name]) {
+		if t.adapters[name] == nil && !r.Asked.After(t.unloaded[name]) {
 			continue
 		}
-		t.takeHeld(name, version, r.Coming, now)
+		t.applyHeld(name, version, r.Coming, now)
 	}
 	for name, at := range t.unloaded {
 		if r.Asked.After(at) {
@@ -39,61 +40,63 @@
 		}
 	}
 	for name := range r.Coming {
-		if t.places[name] == nil {
-			t.places[name] = &place{version: absent, loading: true, since: now, usedAt: now}
+		if t.adapters[name] == nil {
+			t.adapters[name] = &adapterState{version: absent, loading: true, since: now, usedAt: now}
 		}
 	}
 	for _, name := range t.sortedNames() {
-		t.takeAbsent(name, r)
+		t.applyAbsent(name, r)
 	}
-	t.takeEnding(r)
-	t.takeRuns(r, now)
+	t.applyEnding(r)
+	t.applyRuns(r, now)
 	return t.plan(now)
 }
 
-func (t *Table) takeHeld(name string, version int64, coming map[string]int64, now time.Time) {
-	p := t.places[name]
-	if p == nil {
-		p = &place{usedAt: now}
-		t.places[name] = p
+func (t *Table) applyHeld(name string, version int64, coming map[string]int64, now time.Time) {
+	a := t.adapters[name]
+	if a == nil {
+		a = &adapterState{usedAt: now}
+		t.adapters[name] = a
 	}
-	_, underWay := coming[name]
-	if p.loading && !underWay && (version > p.version || version >= t.newest[name].version) {
-		p.loading = false
+	_, loading := coming[name]
+	if a.loading && !loading && (version > a.version || version >= t.newest[name].version) {
+		a.loading = false
 	}
-	p.version = version
+	a.version = version
 }
 
-// takeAbsent forgets what the engine neither holds nor loads, unless an order
-// for it is younger than the report.
-func (t *Table) takeAbsent(name string, r Report) {
-	p := t.places[name]
+// applyAbsent removes an adapter that the engine neither holds nor loads,
+// unless a load was ordered after the report or less than orderTimeout before
+// it.
+func (t *Table) applyAbsent(name string, r Report) {
+	a := t.adapters[name]
 	_, held := r.Held[name]
 	_, coming := r.Coming[name]
 	if held || coming {
 		return
 	}
-	if p.loading && r.Asked.Sub(p.since) < orderPatience {
+	if a.loading && r.Asked.Sub(a.since) < orderTimeout {
 		return
 	}
-	p.version = absent
-	p.loading, p.unloading = false, false
-	if p.pins == 0 && p.ending == 0 {
-		delete(t.places, name)
+	a.version = absent
+	a.loading, a.unloading = false, false
+	if a.pins == 0 && a.ending == 0 {
+		delete(t.adapters, name)
 	}
 }
 
-// takeEnding lets go of what the engine has stopped running, and counts what
-// nobody here has started. An agent that has restarted knows of none of the
-// engine's requests; to unload an adapter under one of them would cut it off.
-func (t *Table) takeEnding(r Report) {
+// applyEnding removes the ending requests that the engine no longer runs, and
+// counts the running requests that this table has not started. A restarted
+// agent knows none of the engine's requests; unloading an adapter that one of
+// them uses would cut it off.
+func (t *Table) applyEnding(r Report) {
 	for id, e := range t.ending {
 		if r.Runs[id] || !r.Asked.After(e.at) {
 			continue
 		}
 		delete(t.ending, id)
-		if p := t.places[e.adapter]; p != nil {
-			p.ending--
+		if a := t.adapters[e.adapter]; a != nil {
+			a.ending--
 		}
 	}
 	t.foreign = 0
@@ -104,7 +107,7 @@
 	}
 }
 
-func (t *Table) takeRuns(r Report, now time.Time) {
+func (t *Table) applyRuns(r Report, now time.Time) {
 	for id, s := range t.started {
 		if r.Runs[id] {
 			s.seen, s.missing = true, 0
@@ -112,11 +115,11 @@
 		}
 		s.missing++
 		lost := s.seen && s.missing >= missingReports && r.Waiting == 0
-		if lost || !s.seen && now.Sub(s.at) > unseenPatience && r.Waiting == 0 {
+		if lost || !s.seen && now.Sub(s.at) > unseenTimeout && r.Waiting == 0 {
 			delete(t.started, id)
 			t.tokens -= s.tokens
-			if p := t.places[s.adapter]; p != nil {
-				p.pins--
+			if a := t.adapters[s.adapter]; a != nil {
+				a.pins--
 			}
 		}
 	}
--- a/coord/residency/reserve.go
+++ b/coord/residency/reserve.go
@@ -5,46 +5,47 @@
 	"time"
 )
 
-// reserve is the part of the batch that requests which are late already leave
-// free for those that can still be in time.
+// reserve is the part of the batch that late requests leave free for requests
+// that can still meet their target.
 //
-// The load that it answers: a burst over engines that are too few. The late ones
-// would take each place as it comes free, the next callers would find none and be
-// late in their turn, until nearly everybody is. Each request that becomes late
-// for want of a place keeps one more free; while none does, that fades.
+// It addresses bursts beyond the engines' capacity. Late requests would take
+// each batch position as it becomes free, so that the next callers would find
+// none and be late in turn, until nearly all are. Each request that becomes
+// late for lack of a position reserves one more; while none does, the reserve
+// decays.
 type reserve struct {
-	places float64
-	at     time.Time
+	reserved float64
+	at       time.Time
 }
 
 const (
-	// reserveHalfLife is how fast the reserve fades: some runs of requests end, and
-	// free their places, in that time.
+	// reserveHalfLife is the half-life of the reserve: several requests end
+	// within it and free their positions.
 	reserveHalfLife = 2 * time.Second
-	// reserveMost is the part of the batch that it may take.
-	reserveMost = 0.75
+	// maxReserve is the maximum share of the batch that is reserved.
+	maxReserve = 0.75
 )
 
-// now is the number of places that are kept free.
-func (r *reserve) now(now time.Time) float64 {
-	if r.places == 0 {
+// current returns the number of reserved batch positions.
+func (r *reserve) current(now time.Time) float64 {
+	if r.reserved == 0 {
 		return 0
 	}
-	return r.places * math.Exp2(-float64(now.Sub(r.at))/float64(reserveHalfLife))
+	return r.reserved * math.Exp2(-float64(now.Sub(r.at))/float64(reserveHalfLife))
 }
 
-// grow keeps one more place free.
+// grow reserves one more position.
 func (r *reserve) grow(batch int, now time.Time) {
-	r.places = min(r.now(now)+1, reserveMost*float64(batch))
+	r.reserved = min(r.current(now)+1, maxReserve*float64(batch))
 	r.at = now
 }
 
-// noteLate grows the reserve by the requests that have become late although
-// their adapter is there.
-func (t *Table) noteLate(now time.Time) {
+// markLate marks the requests that have become late. Each of them whose adapter
+// is ready grows the reserve.
+func (t *Table) markLate(now time.Time) {
 	for i := range t.waiting {
 		r := &t.waiting[i]
-		if r.late || !t.tooLate(r, now) {
+		if r.late || !t.missesTarget(r, now) {
 			continue
 		}
 		r.late = true
@@ -54,10 +55,11 @@
 	}
 }
 
-// room is how much of the batch a request may find taken and start all the same.
-func (t *Table) room(r *Request, now time.Time) int {
+// batchLimit returns the number of running requests below which a request may
+// start.
+func (t *Table) batchLimit(r *Request, now time.Time) int {
 	if !r.late {
 		return t.options.Batch
 	}
-	return max(t.options.Batch-int(math.Round(t.reserve.now(now))), 1)
+	return max(t.options.Batch-int(math.Round(t.reserve.current(now))), 1)
 }
--- a/coord/residency/residency.go
+++ b/coord/residency/residency.go
@@ -1,11 +1,12 @@
 // Package residency decides for one engine which adapters it holds and which
 // request starts when. The engine replaces an adapter by a newer version in
-// place, takes a few loads at a time, and crashes when it is ordered to hold
-// more than it can; its own report is the truth that the table follows.
+// place, accepts a few loads at a time, and crashes when it is ordered to hold
+// more adapters than it has capacity for. The engine's own report is the source
+// of truth for the table.
 //
 // Table is a pure state machine: events go in with the time, actions come out.
-// It never unloads an adapter that a request uses or waits for, and it never
-// orders more adapters than there are places.
+// It never unloads an adapter that a request uses or waits for, and never
+// orders more adapters than the engine has capacity for.
 package residency
 
 import (
@@ -14,52 +15,54 @@
 	"time"
 )
 
-// Options describe the engine.
+// Options describes the engine.
 type Options struct {
-	// Places is the most adapters that the engine holds, loads under way
-	// included.
+	// Places is the maximum number of adapters that the engine holds, including
+	// loads in progress.
 	Places int
-	// Batch is the most requests that run at once.
+	// Batch is the maximum number of requests that run at once.
 	Batch int
-	// MemoryTokens bounds the tokens of all requests that run.
+	// MemoryTokens bounds the total tokens of all running requests.
 	MemoryTokens int
-	// Loads is the most loads under way.
+	// Loads is the maximum number of loads in progress.
 	Loads int
-	// Queue is the most requests that wait.
+	// Queue is the maximum number of waiting requests.
 	Queue int
-	// Grace is how long an outdated version may still be started once a newer
-	// one was named.
+	// Grace is how long requests may still start on an outdated version after a
+	// newer one was announced.
 	Grace time.Duration
 }
 
-// Request asks for a start.
+// Request asks to start a request on the engine.
 type Request struct {
 	ID string
-	// Adapter is model/adapter; empty when the base model alone is asked for.
+	// Adapter is model/adapter; empty when only the base model is requested.
 	Adapter string
 	// Rank orders waiting requests; 0 goes first.
 	Rank int
-	// Prompt is the number of tokens to read, Tokens the most memory it takes.
+	// Prompt is the number of prompt tokens, Tokens the maximum memory that the
+	// request takes, in tokens.
 	Prompt int
 	Tokens int
-	// Parts are those of the prompt, in order.
+	// Parts are the parts of the prompt, in order.
 	Parts []Part
-	// Target is when its first event is hoped for: of equal ranks those that can
-	// still be in time go first.
+	// Target is the target time of the first event. Among equal ranks, requests
+	// that can still meet their target go first.
 	Target time.Time
-	// Latest is when a start is of no use any more.
+	// Latest is the time after which the request is no longer started.
 	Latest time.Time
-	// late is true once a start would miss the target.
+	// late is set once a start would miss the target.
 	late bool
 }
 
-// Action is something that the owner must do.
+// Action is something that the owner of the table must do.
 type Action interface{ action() }
 
-// Start lets a request run.
+// Start starts a request.
 type Start struct {
 	ID string
-	// Version is the adapter's that it will meet, 0 without an adapter.
+	// Version is the adapter version that the request runs on, 0 without an
+	// adapter.
 	Version int64
 }
 
@@ -69,10 +72,11 @@
 	Reason Reason
 }
 
-// Load orders the engine to load an adapter, or to replace the version it has.
+// Load orders the engine to load an adapter, or to replace the version it
+// holds.
 type Load struct {
 	Adapter string
-	// Version is 0 when no version was named: the newest is then loaded.
+	// Version is 0 when no version was announced: the newest is loaded then.
 	Version int64
 }
 
@@ -88,83 +92,87 @@
 type Reason string
 
 const (
-	// ReasonFull means that too many requests wait.
+	// ReasonFull means that the queue is full.
 	ReasonFull Reason = "queue_full"
-	// ReasonLate means that its latest start has passed.
+	// ReasonLate means that the latest start time of the request has passed.
 	ReasonLate Reason = "too_late"
-	// ReasonLeaving means that the engine takes no new work.
+	// ReasonLeaving means that the engine accepts no new requests.
 	ReasonLeaving Reason = "leaving"
-	// ReasonRestarted means that the engine has lost what it held.
+	// ReasonRestarted means that the engine restarted and lost its state.
 	ReasonRestarted Reason = "engine_restarted"
 )
 
-// orderPatience is how long an order may take effect before it counts as lost:
-// an accepted load takes some hundred milliseconds when the store is idle.
-const orderPatience = 2 * time.Second
+// orderTimeout is how long an order has to take effect before it counts as
+// lost: an accepted load takes a few hundred milliseconds when the store is
+// idle.
+const orderTimeout = 2 * time.Second
 
-// refusalPause is how long the engine is left alone after it refused an order:
-// about as long as a report and the order it was busy with take.
-const refusalPause = 60 * time.Millisecond
+// refusalBackoff is how long no orders are sent to the engine after it refused
+// one: about as long as a report and the order that kept it busy take.
+const refusalBackoff = 60 * time.Millisecond
 
-// useHalfLife is how fast the worth of an adapter's past use fades. Popularity
-// moves within seconds to minutes.
+// useHalfLife is the half-life of the weight of an adapter's past use.
+// Popularity changes within seconds to minutes.
 const useHalfLife = 8 * time.Second
 
-type place struct {
-	// version is what the engine holds, -1 while it holds none.
+type adapterState struct {
+	// version is the version that the engine holds, or absent.
 	version int64
-	// ordered is a load or unload under way, and since when.
+	// loading and unloading tell which order is in progress, and since is when it
+	// was given.
 	loading, unloading bool
 	since              time.Time
 	pins               int
-	// ending counts the ending requests that used it.
+	// ending counts the requests in Table.ending that used the adapter.
 	ending int
 	use    float64
 	usedAt time.Time
 }
 
-type started struct {
+type startedRequest struct {
 	adapter string
 	prompt  int
 	tokens  int
 	parts   []Part
 	at      time.Time
-	// begun is true once its first event was made; alone while no other prompt
-	// was read beside its own.
+	// begun is set once the request has produced its first event; alone stays set
+	// while no other prompt was read at the same time.
 	begun bool
 	alone bool
-	// seen is true once the engine has reported it.
+	// seen is set once the engine has reported the request.
 	seen bool
-	// missing counts reports without it.
+	// missing counts consecutive reports that lack the request.
 	missing int
 }
 
 // Table is the state of one engine.
 type Table struct {
-	options Options
-	places  map[string]*place
-	waiting []Request
-	started map[string]*started
-	// ending are requests that their callers know to have ended and that the
-	// engine may still run, by id.
+	options  Options
+	adapters map[string]*adapterState
+	waiting  []Request
+	started  map[string]*startedRequest
+	// ending holds, by ID, requests that have ended for their callers but that
+	// the engine may still be running.
 	ending map[string]ending
-	// foreign is how many requests the engine runs that this table has not
-	// started: what they use is not known.
+	// foreign is the number of requests that the engine runs and this table has
+	// not started. Which adapters they use is unknown.
 	foreign int
 	tokens  int
 	leaving bool
-	// newest are the versions that were named, with when this table heard.
-	newest map[string]named
-	pace   pace
+	// newest holds the newest announced version of each adapter and when this
+	// table learned of it.
+	newest map[string]announcedVersion
+	pacer  pacer
 	pauses pauses
-	// reserve is kept free for requests that can be in time.
+	// reserve is the part of the batch that is kept free for requests that can
+	// still meet their target.
 	reserve reserve
-	// parts are those that the engine has read, by adapter.
+	// parts are the prompt parts that the engine has read, by adapter.
 	parts map[string]map[string]bool
-	// unloaded are the adapters that the engine has dropped, and when: a report
-	// that was asked for before still shows them.
+	// unloaded holds the adapters that the engine has dropped, and when: a report
+	// that was requested earlier still lists them.
 	unloaded map[string]time.Time
-	// refusedUntil is when the next order may be given after a refusal.
+	// refusedUntil is the earliest time for the next order after a refusal.
 	refusedUntil time.Time
 }
 
@@ -173,23 +181,23 @@
 	at      time.Time
 }
 
-type named struct {
+type announcedVersion struct {
 	version int64
 	at      time.Time
 }
 
-// absent marks a place whose adapter the engine does not hold.
+// absent is the version of an adapter that the engine does not hold.
 const absent = -1
 
-// New returns a table for an engine that holds nothing.
+// New returns a table for an engine that holds no adapters.
 func New(options Options) *Table {
-	return &Table{options: options, places: make(map[string]*place), started: make(map[string]*started), ending: make(map[string]ending), newest: make(map[string]named), unloaded: make(map[string]time.Time), parts: make(map[string]map[string]bool), pauses: pauses{below: firstBelow}}
+	return &Table{options: options, adapters: make(map[string]*adapterState), started: make(map[string]*startedRequest), ending: make(map[string]ending), newest: make(map[string]announcedVersion), unloaded: make(map[string]time.Time), parts: make(map[string]map[string]bool), pauses: pauses{reduction: initialReduction}}
 }
 
-// SetOptions changes what is known of the engine.
+// SetOptions replaces the description of the engine.
 func (t *Table) SetOptions(options Options) { t.options = options }
 
-// Admit asks for a start.
+// Admit queues a request, which starts as soon as the engine can run it.
 func (t *Table) Admit(r Request, now time.Time) []Action {
 	if t.leaving {
 		return []Action{Refuse{ID: r.ID, Reason: ReasonLeaving}}
@@ -201,7 +209,7 @@
 	return t.plan(now)
 }
 
-// Cancel takes back a request that waits or was started.
+// Cancel withdraws a waiting or started request.
 func (t *Table) Cancel(id string, now time.Time) []Action {
 	for i := range t.waiting {
 		if t.waiting[i].ID == id {
@@ -212,7 +220,7 @@
 	return t.Done(id, now)
 }
 
-// Done tells that a started request has ended.
+// Done records that a started request has ended.
 func (t *Table) Done(id string, now time.Time) []Action {
 	s, ok := t.started[id]
 	if !ok {
@@ -220,38 +228,38 @@
 	}
 	delete(t.started, id)
 	t.tokens -= s.tokens
-	if p := t.places[s.adapter]; p != nil {
-		p.pins--
-		p.ending++
-		p.touch(now, 0)
+	if a := t.adapters[s.adapter]; a != nil {
+		a.pins--
+		a.ending++
+		a.touch(now, 0)
 		t.ending[id] = ending{adapter: s.adapter, at: now}
 	}
 	return t.plan(now)
 }
 
-// Named tells that a newer version of an adapter exists.
+// Named records that a newer version of an adapter was announced.
 func (t *Table) Named(adapter string, version int64, now time.Time) []Action {
 	if version <= t.newest[adapter].version {
 		return nil
 	}
-	t.newest[adapter] = named{version: version, at: now}
+	t.newest[adapter] = announcedVersion{version: version, at: now}
 	return t.plan(now)
 }
 
-// Leave refuses all that waits and all that comes.
+// Leave refuses all waiting requests and all later ones.
 func (t *Table) Leave() []Action {
 	t.leaving = true
 	return t.refuseAll(ReasonLeaving)
 }
 
-// Restarted forgets the engine's state; what was started is lost with it.
+// Restarted resets the engine's state; started requests are lost with it.
 func (t *Table) Restarted() []Action {
-	t.places = make(map[string]*place)
-	t.started, t.ending, t.foreign = make(map[string]*started), make(map[string]ending), 0
+	t.adapters = make(map[string]*adapterState)
+	t.started, t.ending, t.foreign = make(map[string]*startedRequest), make(map[string]ending), 0
 	clear(t.unloaded)
 	t.tokens = 0
 	t.leaving = false
-	t.pace = t.pace.kept()
+	t.pacer = t.pacer.retained()
 	t.parts = make(map[string]map[string]bool)
 	return t.refuseAll(ReasonRestarted)
 }
@@ -265,86 +273,87 @@
 	return actions
 }
 
-// Ordered tells how an order ended: an accepted one takes effect later and is
-// seen in a report, a refused one never does.
+// Ordered records the engine's answer to an order. An accepted order takes
+// effect later and shows in a report; a refused one never takes effect.
 func (t *Table) Ordered(adapter string, accepted bool, now time.Time) []Action {
-	p := t.places[adapter]
-	if p == nil || accepted {
+	a := t.adapters[adapter]
+	if a == nil || accepted {
 		return nil
 	}
-	t.refusedUntil = now.Add(refusalPause)
-	p.loading, p.unloading = false, false
-	if p.version == absent && p.pins == 0 {
-		delete(t.places, adapter)
+	t.refusedUntil = now.Add(refusalBackoff)
+	a.loading, a.unloading = false, false
+	if a.version == absent && a.pins == 0 {
+		delete(t.adapters, adapter)
 	}
 	return nil
 }
 
-// Unloaded tells that the engine has dropped an adapter.
+// Unloaded records that the engine has dropped an adapter.
 func (t *Table) Unloaded(adapter string, now time.Time) []Action {
-	if p := t.places[adapter]; p != nil && p.unloading && p.pins == 0 {
-		delete(t.places, adapter)
+	if a := t.adapters[adapter]; a != nil && a.unloading && a.pins == 0 {
+		delete(t.adapters, adapter)
 		t.unloaded[adapter] = now
 	}
 	return t.plan(now)
 }
 
-// Tick lets time pass.
+// Tick advances the time.
 func (t *Table) Tick(now time.Time) []Action { return t.plan(now) }
 
-// Waiting is the number of requests that wait; Running that were started.
+// Waiting returns the number of waiting requests.
 func (t *Table) Waiting() int { return len(t.waiting) }
 
-// Running is the number of requests that were started and have not ended.
+// Running returns the number of requests that were started and have not ended.
 func (t *Table) Running() int { return len(t.started) }
 
-// Started is true for a request that was started and has not ended.
+// Started reports whether a request was started and has not ended.
 func (t *Table) Started(id string) bool { return t.started[id] != nil }
 
-// Tokens is the most memory that what was started takes.
+// Tokens returns the maximum memory that the started requests take, in tokens.
 func (t *Table) Tokens() int { return t.tokens }
 
 // Held lists the adapters that a request could start on now or soon. Stale ones
-// are held in an outdated version and in use: the newer one can only come when
-// that use ends, so that other engines serve sooner.
+// are held in an outdated version that is in use: the newer version can only be
+// loaded once that use ends, so other engines serve sooner.
 func (t *Table) Held(now time.Time) (held, stale []string) {
 	for _, name := range t.sortedNames() {
-		p := t.places[name]
+		a := t.adapters[name]
 		switch {
-		case p.unloading:
-		case p.version < t.newest[name].version && p.pins > 0:
+		case a.unloading:
+		case a.version < t.newest[name].version && a.pins > 0:
 			stale = append(stale, name)
-		case p.loading || t.startable(name, p, now):
+		case a.loading || t.startable(name, a, now):
 			held = append(held, name)
 		}
 	}
 	return held, stale
 }
 
-// free is true when no request uses the adapter.
-func (t *Table) free(p *place) bool { return p.pins == 0 && p.ending == 0 && t.foreign == 0 }
+// idle reports whether no request can be using the adapter.
+func (t *Table) idle(a *adapterState) bool { return a.pins == 0 && a.ending == 0 && t.foreign == 0 }
 
-func (p *place) touch(now time.Time, by float64) {
-	p.use = p.worth(now) + by
-	p.usedAt = now
+func (a *adapterState) touch(now time.Time, by float64) {
+	a.use = a.decayedUse(now) + by
+	a.usedAt = now
 }
 
-func (p *place) worth(now time.Time) float64 {
-	halves := float64(now.Sub(p.usedAt)) / float64(useHalfLife)
-	if halves > 60 {
+func (a *adapterState) decayedUse(now time.Time) float64 {
+	halfLives := float64(now.Sub(a.usedAt)) / float64(useHalfLife)
+	if halfLives > 60 {
 		return 0
 	}
-	w := p.use
-	for ; halves >= 1; halves-- {
+	w := a.use
+	for ; halfLives >= 1; halfLives-- {
 		w /= 2
 	}
-	return w * (1 - halves/2)
+	return w * (1 - halfLives/2)
 }
 
-// sortedNames gives a fixed order, so that equal inputs give equal actions.
+// sortedNames returns the adapter names in a fixed order, so that equal inputs
+// give equal actions.
 func (t *Table) sortedNames() []string {
-	names := make([]string, 0, len(t.places))
-	for name := range t.places {
+	names := make([]string, 0, len(t.adapters))
+	for name := range t.adapters {
 		names = append(names, name)
 	}
 	slices.SortFunc(names, cmp.Compare[string])
--- a/coord/residency/residency_test.go
+++ b/coord/residency/residency_test.go
@@ -16,11 +16,12 @@
 	return Options{Places: 2, Batch: 4, MemoryTokens: 10_000, Loads: 2, Queue: 16, Grace: 2 * time.Second}
 }
 
-// knownEngine is a table for an engine that has read 4,000 tokens at 10 a millisecond.
-func knownEngine() *Table {
+// tableWithRate returns a table for an engine that has read 4,000 tokens at 10
+// per millisecond.
+func tableWithRate() *Table {
 	table := New(options())
-	table.pace.busySince = start.Add(-time.Second)
-	table.pace.read(4000, table.pace.busySince.Add(400*time.Millisecond))
+	table.pacer.busySince = start.Add(-time.Second)
+	table.pacer.recordRead(4000, table.pacer.busySince.Add(400*time.Millisecond))
 	return table
 }
 
@@ -28,8 +29,8 @@
 	return Request{ID: id, Adapter: adapter, Prompt: 10, Tokens: 20, Latest: start.Add(time.Hour)}
 }
 
-// held is a report of an engine that holds adapters at version 0.
-func held(at time.Time, names ...string) Report {
+// heldReport returns a report of an engine that holds adapters at version 0.
+func heldReport(at time.Time, names ...string) Report {
 	r := Report{Held: make(map[string]int64), Asked: at}
 	for _, name := range names {
 		r.Held[name] = 0
@@ -37,7 +38,7 @@
 	return r
 }
 
-func kinds(actions []Action) []string {
+func describe(actions []Action) []string {
 	var list []string
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -56,66 +57,67 @@
 
 func expect(t *testing.T, what string, got []Action, want ...string) {
 	t.Helper()
-	if list := kinds(got); !slices.Equal(list, want) {
+	if list := describe(got); !slices.Equal(list, want) {
 		t.Errorf("%s: %v, want %v", what, list, want)
 	}
 }
 
-func TestARequestStartsWhenItsAdapterIsThere(t *testing.T) {
+func TestRequestStartsOnceAdapterIsLoaded(t *testing.T) {
 	table := New(options())
 	expect(t, "admit", table.Admit(request("r1", "m/a"), start), "load m/a@0")
-	expect(t, "a second one", table.Admit(request("r2", "m/a"), start))
+	expect(t, "second request", table.Admit(request("r2", "m/a"), start))
 	later := start.Add(300 * time.Millisecond)
-	expect(t, "the report", table.Take(held(later, "m/a"), later), "start r1", "start r2")
-	expect(t, "a third one", table.Admit(request("r3", "m/a"), later), "start r3")
+	expect(t, "report", table.Take(heldReport(later, "m/a"), later), "start r1", "start r2")
+	expect(t, "third request", table.Admit(request("r3", "m/a"), later), "start r3")
 }
 
-// Two requests use both places and a third asks for another adapter. Dropping
-// an adapter in use would run its request on nothing; ordering a third would
-// crash the engine with everyone on it.
-func TestAnAdapterInUseIsNeverUnloaded(t *testing.T) {
+// Two requests use the whole capacity and a third asks for another adapter.
+// Unloading an adapter in use would break its request; ordering a third adapter
+// would crash the engine and fail all of its requests.
+func TestAdapterInUseIsNotUnloaded(t *testing.T) {
 	table := New(options())
-	table.Take(held(start, "m/a", "m/b"), start)
+	table.Take(heldReport(start, "m/a", "m/b"), start)
 	table.Admit(request("r1", "m/a"), start)
 	table.Admit(request("r2", "m/b"), start)
-	expect(t, "no place is free", table.Admit(request("r3", "m/c"), start))
-	expect(t, "one ends, and the engine may still run it", table.Done("r1", start))
-	running := held(start, "m/a", "m/b")
+	expect(t, "no free capacity", table.Admit(request("r3", "m/c"), start))
+	expect(t, "one ends, but the engine may still run it", table.Done("r1", start))
+	running := heldReport(start, "m/a", "m/b")
 	running.Runs = map[string]bool{"r2": true}
 	running.Asked = start.Add(time.Millisecond)
-	expect(t, "the engine runs it no more", table.Take(running, running.Asked), "unload m/a")
-	expect(t, "it is dropped", table.Unloaded("m/a", start), "load m/c@0")
+	expect(t, "the engine no longer runs it", table.Take(running, running.Asked), "unload m/a")
+	expect(t, "the adapter is dropped", table.Unloaded("m/a", start), "load m/c@0")
 }
 
-// A newer version is named while the adapter is in use. The engine would wait
-// for its runs to end and refuse every other order meanwhile, so all starts that
-// need a load would stand still for seconds.
-func TestAVersionInUseIsReplacedWhenItsRunsHaveEnded(t *testing.T) {
+// A newer version is announced while the adapter is in use. If a replacement
+// were ordered, the engine would wait for the running requests to end and
+// refuse every other order meanwhile, so that all requests that need a load
+// would stall for seconds.
+func TestVersionInUseIsReplacedAfterItsRequestsEnd(t *testing.T) {
 	table := New(options())
-	table.Take(held(start, "m/a"), start)
+	table.Take(heldReport(start, "m/a"), start)
 	table.Admit(request("r1", "m/a"), start)
-	expect(t, "named", table.Named("m/a", 2, start))
+	expect(t, "announced", table.Named("m/a", 2, start))
 	if _, stale := table.Held(start); !slices.Equal(stale, []string{"m/a"}) {
-		t.Errorf("stale are %v, want m/a", stale)
+		t.Errorf("stale adapters are %v, want m/a", stale)
 	}
-	expect(t, "within the grace", table.Admit(request("r2", "m/a"), start.Add(time.Second)), "start r2")
+	expect(t, "within the grace period", table.Admit(request("r2", "m/a"), start.Add(time.Second)), "start r2")
 	late := start.Add(3 * time.Second)
-	expect(t, "behind the grace", table.Admit(request("r3", "m/a"), late))
+	expect(t, "after the grace period", table.Admit(request("r3", "m/a"), late))
 	expect(t, "one ends", table.Done("r1", late))
 	expect(t, "both end", table.Done("r2", late))
 	late = late.Add(time.Millisecond)
-	expect(t, "the engine runs neither", table.Take(held(late, "m/a"), late), "load m/a@2")
+	expect(t, "the engine runs neither request", table.Take(heldReport(late, "m/a"), late), "load m/a@2")
 	expect(t, "others wait for the replacement", table.Admit(request("r4", "m/b"), late))
 	done := late.Add(200 * time.Millisecond)
-	report := held(done)
+	report := heldReport(done)
 	report.Held["m/a"] = 2
-	expect(t, "it is there", table.Take(report, done), "start r3", "load m/b@0")
+	expect(t, "the replacement is complete", table.Take(report, done), "start r3", "load m/b@0")
 }
 
-func TestOfEqualRanksThoseThatCanBeInTimeGoFirst(t *testing.T) {
+func TestRequestsInTimeGoFirstWithinRank(t *testing.T) {
 	table := New(options())
 	table.SetOptions(Options{Places: 2, Batch: 1, MemoryTokens: 10_000, Loads: 2, Queue: 16})
-	table.Take(held(start, "m/a"), start)
+	table.Take(heldReport(start, "m/a"), start)
 	table.Admit(request("running", "m/a"), start)
 	for _, r := range []struct {
 		id     string
@@ -134,44 +136,44 @@
 	expect(t, "third", table.Done("in time", now), "start late")
 }
 
-// Long prompts that start together make every stream of the engine halt for a
+// Long prompts that start together make every stream on the engine halt for a
 // third of a second.
-func TestPromptsAreSpread(t *testing.T) {
-	table := knownEngine()
-	table.Take(held(start, "m/a"), start)
+func TestPromptStartsArePaced(t *testing.T) {
+	table := tableWithRate()
+	table.Take(heldReport(start, "m/a"), start)
 	long := func(id string) Request {
 		r := request(id, "m/a")
 		r.Prompt = 4000
 		return r
 	}
-	expect(t, "the first", table.Admit(long("r1"), start), "start r1")
-	expect(t, "the second waits", table.Admit(long("r2"), start))
+	expect(t, "first request", table.Admit(long("r1"), start), "start r1")
+	expect(t, "second request waits", table.Admit(long("r2"), start))
 	next := table.Next()
-	expect(t, "just before its turn", table.Tick(next.Add(-time.Millisecond)))
-	expect(t, "at its turn", table.Tick(next), "start r2")
+	expect(t, "just before its start time", table.Tick(next.Add(-time.Millisecond)))
+	expect(t, "at its start time", table.Tick(next), "start r2")
 }
 
-func TestPartsThatWereReadAreNotCountedAgain(t *testing.T) {
-	table := knownEngine()
-	table.Take(held(start, "m/a"), start)
+func TestReadPartsAreNotCountedAgain(t *testing.T) {
+	table := tableWithRate()
+	table.Take(heldReport(start, "m/a"), start)
 	shared := request("r1", "m/a")
 	shared.Prompt, shared.Parts = 1000, []Part{{"system", 900}, {"own", 100}}
 	table.Admit(shared, start)
-	alone := table.pace.readUntil.Sub(start)
+	alone := table.pacer.readUntil.Sub(start)
 	table.Begun("r1", start.Add(100*time.Millisecond))
 	table.Done("r1", start.Add(time.Second))
 	again := start.Add(2 * time.Second)
 	shared.ID = "r2"
 	table.Admit(shared, again)
-	if took := table.pace.readUntil.Sub(again); took*5 > alone {
-		t.Errorf("the second prompt counts %s, the first %s: 100 of 1,000 tokens are new", took, alone)
+	if took := table.pacer.readUntil.Sub(again); took*5 > alone {
+		t.Errorf("the second prompt takes %s and the first %s, although only 100 of 1,000 tokens are new", took, alone)
 	}
 }
 
-// The reading rate is learned although a first event takes a constant time
-// beside it: a rate that is taken for half of what it is lets the queue grow
-// until every request is late.
-func TestTheReadingRateIsLearned(t *testing.T) {
+// The read rate must be estimated correctly although a first event takes a
+// constant time in addition to reading the prompt: with a rate estimated at
+// half its value the queue grows until every request is late.
+func TestReadRateIsEstimated(t *testing.T) {
 	var f fit
 	const rate = 20.0
 	for i := range 60 {
@@ -183,26 +185,27 @@
 	}
 }
 
-func TestSamplesThatTellNothingLeaveTheRateUnknown(t *testing.T) {
-	p := pace{busyRate: 12}
+func TestUniformSamplesLeaveRateUnknown(t *testing.T) {
+	p := pacer{busyRate: 12}
 	for range 50 {
 		p.fit.add(1000, 120*time.Millisecond)
 	}
 	if got := p.fit.rate(); got != 0 {
-		t.Errorf("the rate is %.1f tokens/ms from samples of one size, want none", got)
+		t.Errorf("the rate from samples of one size is %.1f tokens/ms, want unknown", got)
 	}
 	if got := p.rate(); got != 12 {
-		t.Errorf("the rate is %.1f tokens/ms, want that of the busy time, 12", got)
+		t.Errorf("the rate is %.1f tokens/ms, want that of the busy period, 12", got)
 	}
 }
 
-// All processes restart, and nobody knows how fast an engine reads. Its callers must not be told a wait that comes
-// from a guess; the first prompts tell the rate, also when none of them was read alone.
-func TestAnEngineOfWhichNothingIsKnownHoldsNobodyUp(t *testing.T) {
+// All processes restart, and the read rate of an engine is unknown. Callers
+// must not be given a delay that is based on a guess. The first prompts
+// determine the rate, even when none of them was read alone.
+func TestUnknownRateDelaysNoRequest(t *testing.T) {
 	o := options()
 	o.Batch, o.MemoryTokens = 16, 100_000
 	table := New(o)
-	table.Take(held(start, "m/a"), start)
+	table.Take(heldReport(start, "m/a"), start)
 	long := func(id string) Request {
 		r := request(id, "m/a")
 		r.Prompt = 1000
@@ -212,24 +215,24 @@
 		expect(t, id, table.Admit(long(id), start), "start "+id)
 	}
 	if delay := table.Delay(start); delay[Ranks-1] != 0 {
-		t.Errorf("the wait is %v, and nothing is known", delay)
+		t.Errorf("the delay is %v while the rate is unknown, want 0", delay)
 	}
 	for i, id := range []string{"r1", "r2", "r3"} {
 		table.Begun(id, start.Add(time.Duration(i+1)*50*time.Millisecond))
 	}
-	if got := table.pace.rate(); got < 19 || got > 21 {
-		t.Errorf("the rate is %.1f tokens/ms, 3,000 tokens were read in 150 ms", got)
+	if got := table.pacer.rate(); got < 19 || got > 21 {
+		t.Errorf("the rate is %.1f tokens/ms, want 20: 3,000 tokens were read in 150 ms", got)
 	}
 	now := start.Add(time.Second)
-	expect(t, "one", table.Admit(long("r4"), now), "start r4")
-	expect(t, "now prompts are spread", table.Admit(long("r5"), now))
+	expect(t, "first with a known rate", table.Admit(long("r4"), now), "start r4")
+	expect(t, "second with a known rate is paced", table.Admit(long("r5"), now))
 	table.Restarted()
-	if got := table.pace.rate(); got < 19 || got > 21 {
-		t.Errorf("after a restart the same machine reads %.1f tokens/ms", got)
+	if got := table.pacer.rate(); got < 19 || got > 21 {
+		t.Errorf("after a restart the rate is %.1f tokens/ms, want 20", got)
 	}
 }
 
-func TestARequestIsRefusedWhenItsTimeIsUp(t *testing.T) {
+func TestRequestIsRefusedAfterLatestStart(t *testing.T) {
 	table := New(options())
 	r := request("r1", "m/a")
 	r.Latest = start.Add(time.Second)
@@ -237,32 +240,32 @@
 	expect(t, "too late", table.Tick(start.Add(2*time.Second)), "refuse r1 too_late")
 }
 
-func TestALeavingEngineRefusesAll(t *testing.T) {
+func TestLeavingEngineRefusesRequests(t *testing.T) {
 	table := New(options())
 	table.Admit(request("r1", "m/a"), start)
-	expect(t, "what waits", table.Leave(), "refuse r1 leaving")
-	expect(t, "what comes", table.Admit(request("r2", "m/a"), start), "refuse r2 leaving")
+	expect(t, "waiting request", table.Leave(), "refuse r1 leaving")
+	expect(t, "new request", table.Admit(request("r2", "m/a"), start), "refuse r2 leaving")
 }
 
-// An entry dies and never tells that its request has ended. Its place in the
-// batch must come free.
-func TestRequestsOfADeadEntryAreForgotten(t *testing.T) {
+// An entry crashes and never reports the end of its request. The request's
+// place in the batch must become free.
+func TestRequestsOfCrashedEntryAreDropped(t *testing.T) {
 	table := New(options())
-	table.Take(held(start, "m/a"), start)
+	table.Take(heldReport(start, "m/a"), start)
 	table.Admit(request("r1", "m/a"), start)
 	now := start
 	for range missingReports + 1 {
-		now = now.Add(unseenPatience)
-		table.Take(held(now, "m/a"), now)
+		now = now.Add(unseenTimeout)
+		table.Take(heldReport(now, "m/a"), now)
 	}
 	if table.Running() != 0 || table.Tokens() != 0 {
-		t.Errorf("%d requests with %d tokens are left", table.Running(), table.Tokens())
+		t.Errorf("%d requests with %d tokens are still counted", table.Running(), table.Tokens())
 	}
 }
 
-// Whatever happens in whatever order, the engine is never ordered more adapters
-// than it has places, and nothing in use is unloaded.
-func TestTheEngineIsNeverOverloaded(t *testing.T) {
+// For any order of events, the engine is never ordered to hold more adapters
+// than its capacity, and no adapter in use is unloaded.
+func TestEngineIsNeverOverloaded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := options()
 		o.Places = rapid.IntRange(1, 3).Draw(t, "places")
@@ -276,12 +279,12 @@
 				case Load:
 					engine[a.Adapter] = true
 					if len(engine) > o.Places {
-						t.Fatalf("the engine is to hold %v in %d places", engine, o.Places)
+						t.Fatalf("the engine is ordered to hold %v with a capacity of %d", engine, o.Places)
 					}
 				case Unload:
 					for id, adapter := range uses {
 						if adapter == a.Adapter {
-							t.Fatalf("%s is unloaded while %s uses it", a.Adapter, id)
+							t.Fatalf("%s is unloaded while request %s uses it", a.Adapter, id)
 						}
 					}
 					delete(engine, a.Adapter)
@@ -293,13 +296,13 @@
 				}
 			}
 		}
-		// A report that was asked for and has not been read yet.
+		// unread is a report that was requested and has not been read yet.
 		var unread *Report
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 4:
-				asked := held(now, slices.Collect(maps.Keys(engine))...)
+				asked := heldReport(now, slices.Collect(maps.Keys(engine))...)
 				asked.Runs = make(map[string]bool)
 				for id := range uses {
 					asked.Runs[id] = true
@@ -311,10 +314,10 @@
 					unread = nil
 				}
 			case 6:
-				// The order's answer comes on a way of its own, also before a report
-				// that was asked for earlier.
+				// The answer to an order arrives independently of reports, possibly
+				// before one that was requested earlier.
 				for _, name := range table.sortedNames() {
-					if table.places[name].unloading {
+					if table.adapters[name].unloading {
 						check(table.Unloaded(name, now))
 						break
 					}
@@ -325,15 +328,16 @@
 				r.Latest = now.Add(time.Second)
 				check(table.Admit(r, now))
 			case 1:
-				// The engine may run on for a while after the caller knows the end.
+				// The engine may run the request for a while after the caller knows
+				// that it has ended.
 				for _, id := range slices.Sorted(maps.Keys(uses)) {
 					check(table.Done(id, now))
 					break
 				}
 			case 2:
-				// Reports are asked for one after the other.
+				// Reports are requested one after the other.
 				unread = nil
-				report := held(now, slices.Collect(maps.Keys(engine))...)
+				report := heldReport(now, slices.Collect(maps.Keys(engine))...)
 				report.Runs = make(map[string]bool)
 				for _, id := range slices.Sorted(maps.Keys(uses)) {
 					if table.started[id] == nil && rapid.Bool().Draw(t, "stopped") {
@@ -350,54 +354,55 @@
 	})
 }
 
-// The agent asks for a report, the engine answers, and before the answer is read
-// an unload is ordered and done. The report still shows the adapter. Taken for
-// news it would bring the place back: a request starts on an adapter that is not
-// there, and when the next report shows that, its load makes one too many, which
-// crashes the engine with everyone on it.
-func TestAReportFromBeforeAnUnloadDoesNotBringTheAdapterBack(t *testing.T) {
+// The agent requests a report, the engine answers, and before the answer is
+// read an unload is ordered and completed. The report still lists the adapter.
+// If the table took that as current, a request would start on an adapter that
+// is not loaded, and once the next report shows that, its load would exceed the
+// capacity and crash the engine with all of its requests.
+func TestStaleReportDoesNotRestoreUnloadedAdapter(t *testing.T) {
 	o := options()
 	o.Places = 1
 	table := New(o)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	table.Take(held(at(0), "m/a"), at(0))
-	expect(t, "another adapter is asked for", table.Admit(request("r1", "m/b"), at(10)), "unload m/a")
-	expect(t, "the unload is done", table.Unloaded("m/a", at(20)), "load m/b@0")
-	expect(t, "the old report", table.Take(held(at(5), "m/a"), at(25)))
-	expect(t, "the dropped one is asked for", table.Admit(request("r2", "m/a"), at(30)))
-	report := held(at(40))
+	table.Take(heldReport(at(0), "m/a"), at(0))
+	expect(t, "another adapter is requested", table.Admit(request("r1", "m/b"), at(10)), "unload m/a")
+	expect(t, "the unload is complete", table.Unloaded("m/a", at(20)), "load m/b@0")
+	expect(t, "stale report", table.Take(heldReport(at(5), "m/a"), at(25)))
+	expect(t, "the dropped adapter is requested", table.Admit(request("r2", "m/a"), at(30)))
+	report := heldReport(at(40))
 	report.Coming = map[string]int64{"m/b": 0}
-	expect(t, "a new report", table.Take(report, at(45)))
-	expect(t, "the load has ended", table.Take(held(at(300), "m/b"), at(300)), "start r1")
+	expect(t, "new report", table.Take(report, at(45)))
+	expect(t, "the load has ended", table.Take(heldReport(at(300), "m/b"), at(300)), "start r1")
 }
 
-// A request holds its start while the engine turns out to have dropped the
-// adapter by itself. To load it again needs a free place as any other load does.
-func TestALoadOfWhatWasLostNeedsAFreePlace(t *testing.T) {
+// The engine has dropped an adapter on its own while a request that started on
+// it still counts as running. Loading it again needs free capacity like any
+// other load.
+func TestReloadNeedsFreeCapacity(t *testing.T) {
 	o := options()
 	o.Places = 1
 	table := New(o)
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
-	table.Take(held(at(0), "m/a"), at(0))
-	expect(t, "a start", table.Admit(request("r1", "m/a"), at(0)), "start r1")
-	report := held(at(1), "m/b")
+	table.Take(heldReport(at(0), "m/a"), at(0))
+	expect(t, "start", table.Admit(request("r1", "m/a"), at(0)), "start r1")
+	report := heldReport(at(1), "m/b")
 	report.Runs = map[string]bool{"r1": true}
-	expect(t, "another adapter stands in its place", table.Take(report, at(1)))
+	expect(t, "another adapter takes its capacity", table.Take(report, at(1)))
 	for _, action := range table.Admit(request("r2", "m/a"), at(2)) {
 		if load, ok := action.(Load); ok {
-			t.Errorf("%s is ordered although the engine is full", load.Adapter)
+			t.Errorf("a load of %s is ordered although the engine is full", load.Adapter)
 		}
 	}
 }
 
-// An agent restarts while the engine runs requests that it knows nothing of. Any
-// adapter may be in use by them: dropping one would cut its callers off.
-func TestNothingIsUnloadedWhileTheEngineRunsWhatNobodyStarted(t *testing.T) {
+// An agent restarts while the engine runs requests that the agent does not
+// know. They may use any adapter: unloading one would cut off their callers.
+func TestNoUnloadWhileUnknownRequestsRun(t *testing.T) {
 	table := New(options())
-	report := held(start, "m/a", "m/b")
+	report := heldReport(start, "m/a", "m/b")
 	report.Runs = map[string]bool{"of before": true}
 	table.Take(report, start)
-	expect(t, "no place is free", table.Admit(request("r1", "m/c"), start))
+	expect(t, "no free capacity", table.Admit(request("r1", "m/c"), start))
 	report.Runs, report.Asked = nil, start.Add(time.Second)
-	expect(t, "it has ended", table.Take(report, start.Add(time.Second)), "unload m/a")
+	expect(t, "the unknown request has ended", table.Take(report, start.Add(time.Second)), "unload m/a")
 }
