--- a/coord/dispatch/dispatch.go
+++ b/coord/dispatch/dispatch.go
@@ -1,7 +1,7 @@
-// Package dispatch chooses the backend server of a request from a snapshot of
-// what an entry knows: filters drop servers that cannot serve it, scorers
-// estimate in seconds what each choice would cost its caller, and the lowest
-// sum wins.
+// Package dispatch chooses the backend server for a request from a snapshot of
+// an entry's knowledge: filters drop servers that cannot serve the request,
+// scorers estimate the cost of each remaining choice for the caller, and the
+// server with the lowest sum is picked.
 package dispatch
 
 import (
@@ -10,134 +10,145 @@
 	"github.com/rosemarypass/rosemarypass/coord/rendezvous"
 )
 
-// Residence says where an adapter stands at a server.
+// Residence is the state of an adapter at a server.
 type Residence uint8
 
 const (
-	// Absent adapters would have to be loaded from the store.
+	// Absent adapters have to be loaded from the store.
 	Absent Residence = iota
-	// Near adapters were held lately: the server brings them from its own memory.
+	// Near adapters were held recently: the server reloads them from its own
+	// memory.
 	Near
-	// Stale adapters are held in an outdated version and in use.
+	// Stale adapters are held in an outdated version that is in use.
 	Stale
 	// Resident adapters can start at once, as can requests without an adapter.
 	Resident
 )
 
-// Candidate is a server as the entry knows it.
+// Candidate is a server as known to the entry.
 type Candidate struct {
 	ID         string
 	DataCentre string
 	Residence  Residence
-	// Batch is the most requests it runs at once, Running those that run or
-	// were sent, Waiting those that wait at its agent.
+	// Batch is the maximum number of requests that the server runs at once,
+	// Running the number that run or were sent, and Waiting the number queued at
+	// its agent.
 	Batch   int
 	Running int
 	Waiting int
-	// Delay is how long its agent would keep a start waiting.
+	// Delay is how long the agent would delay the start of a request.
 	Delay time.Duration
-	// LoadTime is how long an adapter that is asked for now would take to come.
+	// LoadTime is how long an adapter that is requested now would take to load.
 	LoadTime time.Duration
-	// Tokens and MemoryTokens are the memory taken and there; 0 when unknown.
+	// Tokens is the memory in use and MemoryTokens the total, both in tokens; 0
+	// when unknown.
 	Tokens       int
 	MemoryTokens int
-	// Answer is the usual time to its first byte, 0 when unknown.
+	// Answer is the usual time to the first byte of the server's answers, 0 when
+	// unknown.
 	Answer time.Duration
-	// FailureShare is the share of its recent answers that were failures.
+	// FailureShare is the share of failures among the server's recent answers.
 	FailureShare float64
-	// Connected is true when a kept connection can be used.
+	// Connected reports whether an open connection can be reused.
 	Connected bool
-	// Barred servers failed just now and get no request until it is time to
-	// try them again.
+	// Barred servers failed recently and get no requests until their backoff
+	// ends.
 	Barred bool
-	// Age is how old the agent's report is; it is shown, not weighed.
+	// Age is the age of the agent's report. It is displayed and does not enter
+	// the cost.
 	Age time.Duration
-	// Model is false when the server does not hold the request's base model.
+	// Model reports whether the server holds the request's base model.
 	Model bool
-	// Cold is how much longer the server is slow after its start.
+	// Cold is how much longer the server stays slow after its start.
 	Cold time.Duration
 }
 
-// Request is what has to be placed.
+// Request is a request to be placed.
 type Request struct {
-	// Adapter keeps requests of one adapter together; empty without one.
+	// Adapter is the adapter of the request, by which requests are kept together;
+	// empty without one.
 	Adapter    string
 	DataCentre string
 	Tokens     int
-	// Rank is its urgency; 0 is first.
+	// Rank is the urgency of the request; 0 goes first.
 	Rank int
-	// Target is the time to the first byte that the caller hopes for, Spent how
-	// much of it is gone.
+	// Target is the caller's target for the time to the first byte, and Spent how
+	// much of it has passed.
 	Target time.Duration
 	Spent  time.Duration
-	// Tried are servers that this request was offered to before.
+	// Tried holds the servers that this request was already offered to.
 	Tried map[string]bool
 }
 
 // Costs, in shares of what an answer loses by being late.
 const (
-	// loadCost is what a load from the store is worth, at any engine; homeCost
-	// what it is at the first engines of the adapter's own order: they have most
-	// likely held it before, and bring it from their own memory in a tenth of
-	// the time.
+	// loadCost is the cost of a load from the store on any engine. homeCost is
+	// the cost on the first engines of the adapter's rendezvous order: they have
+	// most likely held the adapter before and reload it from their own memory in
+	// a tenth of the time.
 	loadCost  = 0.45
 	homeCost  = 0.12
 	homeStep  = 0.18
 	homeRanks = 2
-	// nearCost makes a server that held the adapter lately the next choice behind
-	// those that hold it now.
+	// nearCost ranks a server that held the adapter recently right behind those
+	// that hold it now.
 	nearCost = 0.06
 	// staleCost makes an engine that must first finish its running requests the
-	// last choice of those that can be had.
+	// last choice among the available servers.
 	staleCost = 0.55
-	// farCost makes a server of the own data centre win while it is about as
-	// free: bytes between data centres are priced, their latency hardly counts.
-	farCost = 0.04
-	// connectCost is that of a new connection: servers count them, and each may
-	// hold one of their slots for a moment.
+	// remoteCost makes a server of the own data centre win while its load is
+	// about the same: traffic between data centres costs money, while its latency
+	// hardly matters.
+	remoteCost = 0.04
+	// connectCost is the cost of a new connection: servers count connections, and
+	// each may occupy one of their slots for a moment.
 	connectCost = 0.03
-	// waitCost is what a whole target's wait costs an answer in time: some
-	// callers leave, and the next request finds a longer queue.
+	// waitCost is the cost of a wait as long as the whole target for an answer
+	// that is still in time: some callers leave, and the next request finds a
+	// longer queue.
 	waitCost = 0.25
-	// pressureCost is what a full batch costs by slower steps.
+	// pressureCost is the cost of a full batch due to slower steps.
 	pressureCost = 0.15
-	// queueCost is what each request beyond the batch adds: a batch of some
-	// dozens turns over within a few seconds.
+	// queueCost is added for each request beyond the batch: a batch of a few
+	// dozen requests turns over within a few seconds.
 	queueCost = 0.06
-	// failureCost is the price of a failed answer.
+	// failureCost is the cost of a failed answer.
 	failureCost = 2.5
 	// jitterCost keeps entries that see the same reports from choosing the same
 	// server.
 	jitterCost = 0.01
-	// triedCost makes a server that was tried before the last choice.
+	// triedCost makes a server that was already tried the last choice.
 	triedCost = 2.0
 )
 
 const (
-	// staleTime is what running requests usually need to end.
+	// staleTime is the usual time for running requests to end.
 	staleTime = 1500 * time.Millisecond
-	// nearShare is how much sooner an adapter comes from the server's own memory
-	// than from the store, as the platform's pages have it.
+	// nearShare is the load time from the server's own memory relative to that
+	// from the store, according to the platform's documentation.
 	nearShare = 0.1
-	// lateFrom is the share of the target from which on being late grows likely,
-	// lateBy where it is certain.
-	lateFrom = 0.75
-	lateBy   = 1.25
+	// lateStart is the share of the target from which an answer becomes
+	// increasingly likely to be late, lateEnd the share at which it is certain to
+	// be.
+	lateStart = 0.75
+	lateEnd   = 1.25
 )
 
-// crowded is the share of the batch above which pressure rises steeply.
-const crowded = 0.8
+// pressureThreshold is the share of the batch above which pressure rises
+// steeply.
+const pressureThreshold = 0.8
 
-// Pick returns the index of the best candidate, -1 when none can serve. draw
-// gives random numbers in [0, 1).
+// Pick returns the index of the candidate with the lowest cost, -1 when none
+// can serve the request. draw returns random numbers in [0, 1).
 func Pick(candidates []Candidate, r Request, draw func() float64) int {
 	best, lowest := -1, 0.0
 	homes := homeOrder(candidates, r.Adapter)
-	shared := sharedFailures(candidates)
+	shared := commonFailureShare(candidates)
 	for pass := range 2 {
 		for i := range candidates {
 			c := &candidates[i]
-			// The second pass takes barred servers: better than none.
+			// The second pass includes barred servers: they are better than no
+			// server.
 			if !c.Model || c.Barred && pass == 0 {
 				continue
 			}
@@ -153,8 +164,8 @@
 	return -1
 }
 
-// homeOrder ranks the servers for an adapter by a hash that all entries share;
-// the first rank is 1. Ranks from homeRanks on are left out.
+// homeOrder ranks the servers for an adapter by a hash that all entries share,
+// starting at rank 1. Only the first homeRanks servers have a rank.
 func homeOrder(candidates []Candidate, adapter string) map[string]int {
 	if adapter == "" {
 		return nil
@@ -178,13 +189,13 @@
 	return homes
 }
 
-// Cost estimates what a choice would cost, failures aside; home is the server's rank for the
-// adapter, 0 when it has none.
+// Cost estimates the cost of a choice, apart from failures. home is the
+// server's rank for the adapter, 0 when it has none.
 func Cost(c *Candidate, r *Request, home int) float64 {
 	wait := c.Delay + c.Answer + c.Cold + residenceTime(c, r)
 	cost := residenceCost(c, r, home) + pressure(c, r) + lateness(wait, r)
 	if c.DataCentre != r.DataCentre {
-		cost += farCost
+		cost += remoteCost
 	}
 	if !c.Connected {
 		cost += connectCost
@@ -195,13 +206,13 @@
 	return cost
 }
 
-// lateness is the cost of a first byte after some wait.
+// lateness returns the cost of receiving the first byte after the given wait.
 func lateness(wait time.Duration, r *Request) float64 {
 	if r.Target <= 0 {
 		return wait.Seconds()
 	}
 	share := float64(wait+r.Spent) / float64(r.Target)
-	late := (share - lateFrom) / (lateBy - lateFrom)
+	late := (share - lateStart) / (lateEnd - lateStart)
 	return waitCost*share + min(max(late, 0), 1)
 }
 
@@ -242,8 +253,8 @@
 		use = max(use, float64(c.Tokens+r.Tokens)/float64(c.MemoryTokens))
 	}
 	cost := pressureCost * use
-	if use > crowded {
-		cost += 2 * (use - crowded)
+	if use > pressureThreshold {
+		cost += 2 * (use - pressureThreshold)
 	}
 	over := max(c.Running+c.Waiting-c.Batch, 0)
 	return cost + queueCost*float64(over)
--- a/coord/dispatch/health.go
+++ b/coord/dispatch/health.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Health is what an entry learns of one server from its answers. The zero value
-// is a server of which nothing is known.
+// Health is what an entry learns about one server from its answers. The zero
+// value is the state of a server without answers.
 type Health struct {
 	share  float64
 	answer time.Duration
@@ -16,18 +16,20 @@
 }
 
 const (
-	// sampleWeight is the weight of the newest answer: some eight answers decide.
+	// sampleWeight is the weight of the newest answer: about eight answers
+	// determine the average.
 	sampleWeight = 0.12
-	// barFirst is how long a server that could not be reached is left alone; it
-	// doubles with each failure in a row up to barMost.
-	barFirst = 200 * time.Millisecond
-	barMost  = 3 * time.Second
-	// forgetAfter lets a server that got no requests for its failures be tried
-	// again.
-	forgetAfter = 2 * time.Second
+	// initialBackoff is how long no requests are sent to a server after it could
+	// not be reached; it doubles with each consecutive failure up to maxBackoff.
+	initialBackoff = 200 * time.Millisecond
+	maxBackoff     = 3 * time.Second
+	// failureMemory is how long the failure share stays undiminished after a
+	// failure. It fades afterwards, so that a server that got no requests because
+	// of its failures is tried again.
+	failureMemory = 2 * time.Second
 )
 
-// Answered records a good answer and the time to its first byte.
+// Answered records a successful answer and the time to its first byte.
 func (h *Health) Answered(took time.Duration) {
 	h.streak, h.until = 0, time.Time{}
 	h.share -= sampleWeight * h.share
@@ -38,23 +40,25 @@
 	h.answer += time.Duration(sampleWeight * float64(took-h.answer))
 }
 
-// Failed records an answer that was a failure.
+// Failed records a failed answer.
 func (h *Health) Failed(now time.Time) {
 	h.share += sampleWeight * (1 - h.share)
-	h.until = now.Add(forgetAfter)
+	h.until = now.Add(failureMemory)
 }
 
-// Unreachable records that no connection could be made or that it broke.
+// Unreachable records that no connection could be made or that a connection
+// broke.
 func (h *Health) Unreachable(now time.Time) {
 	h.Failed(now)
-	h.until = now.Add(min(barFirst<<min(h.streak, 8), barMost))
+	h.until = now.Add(min(initialBackoff<<min(h.streak, 8), maxBackoff))
 	h.streak++
 }
 
-// Barred is true while the server is left alone.
+// Barred reports whether the server is in backoff.
 func (h *Health) Barred(now time.Time) bool { return h.streak > 0 && now.Before(h.until) }
 
-// FailureShare fades when nothing is sent there any more.
+// FailureShare returns the share of failed answers, which fades while no
+// requests are sent.
 func (h *Health) FailureShare(now time.Time) float64 {
 	if idle := now.Sub(h.until); idle > 0 && h.share > 0 {
 		return h.share / (1 + idle.Seconds())
@@ -62,14 +66,14 @@
 	return h.share
 }
 
-// Answer is the usual time to the first byte.
+// Answer returns the usual time to the first byte.
 func (h *Health) Answer() time.Duration { return h.answer }
 
-// sharedFailures is the share of failures that says nothing of one server: what
-// the middle one of them shows, and what chance adds to it. Requests that fail
-// wherever they run would otherwise drive the others from server to server, away
-// from where their adapters are.
-func sharedFailures(candidates []Candidate) float64 {
+// commonFailureShare returns the failure share that says nothing about a single
+// server: the median share plus its expected random deviation. Requests that
+// fail on every server would otherwise drive other requests from server to
+// server, away from their adapters.
+func commonFailureShare(candidates []Candidate) float64 {
 	shares := make([]float64, 0, len(candidates))
 	for i := range candidates {
 		if candidates[i].Model {
@@ -80,6 +84,6 @@
 		return 0
 	}
 	slices.Sort(shares)
-	middle := shares[(len(shares)-1)/2]
-	return middle + math.Sqrt(middle*(1-middle)*sampleWeight/(2-sampleWeight))
+	median := shares[(len(shares)-1)/2]
+	return median + math.Sqrt(median*(1-median)*sampleWeight/(2-sampleWeight))
 }
--- a/coord/dispatch/near.go
+++ b/coord/dispatch/near.go
@@ -2,20 +2,21 @@
 
 import "slices"
 
-// Held follows which adapters a server holds, and remembers those that it has
-// dropped: a server keeps what it dropped last in its own memory for a while,
-// from where it comes back without the store. The zero value knows nothing.
+// Held tracks which adapters a server holds and remembers those that it has
+// dropped: a server keeps recently dropped adapters in its own memory for a
+// while and reloads them without the store. The zero value is empty and ready
+// to use.
 type Held struct {
 	now []string
-	// dropped are the newest last.
+	// dropped is ordered by time, the most recent last.
 	dropped []string
 }
 
-// maxDropped bounds what is remembered of one server. A server's memory for what
-// it dropped is bounded too; how much fits is not told.
+// maxDropped bounds the dropped adapters remembered per server. The server's
+// memory for them is bounded too; it does not report how many fit.
 const maxDropped = 96
 
-// Take takes what the server holds now.
+// Take updates the adapters that the server holds now.
 func (h *Held) Take(names []string) {
 	for _, name := range h.now {
 		if !slices.Contains(names, name) {
@@ -28,5 +29,6 @@
 	h.now = names
 }
 
-// Near is true for an adapter that the server has dropped and most likely keeps.
+// Near reports whether the server has dropped the adapter and most likely still
+// keeps it in memory.
 func (h *Held) Near(name string) bool { return slices.Contains(h.dropped, name) }
--- a/coord/dispatch/usual_test.go
+++ b/coord/dispatch/usual_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// An entry that stops refuses the streams that would not end before it does. Taken for too long, every caller of its last
-// seconds is sent away; taken for too short, streams are cut.
-func TestMostAnswersEndWithinTheUsualTime(t *testing.T) {
+// A stopping entry refuses streams that would not end before it stops. If the
+// estimate is too long, every caller of the last seconds is refused; if it is
+// too short, streams are cut off.
+func TestMostAnswersEndWithinBound(t *testing.T) {
 	for _, mean := range []time.Duration{200 * time.Millisecond, 2 * time.Second} {
 		random := rand.New(rand.NewPCG(1, 2))
 		var u Usual
@@ -24,11 +25,11 @@
 			}
 		}
 		if within < answers*97/100 || u.Most() > 3*mean {
-			t.Errorf("answers of %v: %d of %d end within %v", mean, within, answers, u.Most())
+			t.Errorf("mean %v: %d of %d answers end within the bound of %v", mean, within, answers, u.Most())
 		}
 	}
 	var none Usual
 	if none.Most() != 0 {
-		t.Errorf("without an answer it expects %v", none.Most())
+		t.Errorf("the bound without any answer is %v, want 0", none.Most())
 	}
 }
