--- a/coord/placement/advice.go
+++ b/coord/placement/advice.go
@@ -9,62 +9,65 @@
 	"github.com/rosemarypass/rosemarypass/coord/membership"
 )
 
-// Limit says what decides how many servers a group needs.
+// Limit is the resource that determines how many servers a group needs.
 type Limit string
 
 const (
-	// LimitBatches means that the places in batches decide.
+	// LimitBatches means that batch capacity determines it.
 	LimitBatches Limit = "batches"
-	// LimitSlots means that the adapters in use at once decide.
+	// LimitSlots means that the adapters in concurrent use determine it.
 	LimitSlots Limit = "slots"
-	// LimitLoads means that the weight store has fallen behind: fewer slots
-	// would need more loads.
+	// LimitLoads means that the weight store has fallen behind: fewer slots would
+	// cause more loads.
 	LimitLoads Limit = "loads"
 )
 
-// Advice says how many servers of one group could be stopped, and why.
+// Advice states which servers of one group could be stopped, and why.
 type Advice struct {
 	Kind membership.Kind `json:"kind"`
 	// Group is the base model of engines, or the pool of plain services.
 	Group string `json:"group"`
-	// Servers counts those that take work now.
+	// Servers is the number of servers that accept new requests.
 	Servers int `json:"servers"`
-	// Needed carries the highest demand of the observed time at the targets;
-	// Spare is kept beyond that for a failure.
+	// Needed is the number of servers that carry the peak demand of the observed
+	// time at the target utilization; Spare servers are kept in addition for a
+	// failure.
 	Needed int `json:"needed"`
 	Spare  int `json:"spare"`
-	// PeakInFlight and PeakPinned are the requests, and the adapter slots in
-	// use, at that demand.
+	// PeakInFlight and PeakPinned are the requests in flight and the adapter
+	// slots in use at that peak.
 	PeakInFlight int `json:"peakInFlight"`
 	PeakPinned   int `json:"peakPinned"`
-	// Limit is what decides.
+	// Limit is the limiting resource.
 	Limit Limit `json:"limit"`
-	// Stoppable are the servers to stop first, in order: those that the
-	// entries use last.
+	// Stoppable lists the servers to stop, in order. It starts with the servers
+	// that entries choose last.
 	Stoppable []string `json:"stoppable"`
-	// Observed is how long demand has been observed, at most a day. Advice on
-	// less than a day may have missed the peak.
+	// Observed is how long demand has been observed, at most a day. Advice based
+	// on less than a day may have missed the peak.
 	Observed time.Duration `json:"observed"`
 }
 
 const (
-	// adviceBucket and adviceBuckets span the day whose peak is kept.
+	// adviceBucket and adviceBuckets span the day for which the peak is kept.
 	adviceBucket  = 5 * time.Minute
 	adviceBuckets = 288
-	// adviceSpare is kept for the loss of a server.
+	// adviceSpare covers the loss of one server.
 	adviceSpare = 1
-	// slowLoadMillis is the load time above which no server should go.
+	// slowLoadMillis is the mean load time above which no server should be
+	// stopped.
 	slowLoadMillis = 1000
 )
 
-// Advisor keeps the demand of the last day. One duty owns it.
+// Advisor keeps the demand of the last day. It is not safe for concurrent use:
+// one goroutine owns it.
 type Advisor struct {
 	view   *View
 	groups map[group]*history
 	begun  time.Time
 }
 
-// history is the highest demand in each bucket of the last day.
+// history holds the peak demand in each bucket of the last day.
 type history struct {
 	peaks [adviceBuckets]peak
 }
@@ -75,12 +78,12 @@
 	demand demand
 }
 
-// NewAdvisor returns an advisor that has observed nothing.
+// NewAdvisor returns an advisor without observations.
 func NewAdvisor() *Advisor {
 	return &Advisor{view: NewView(nil, time.Time{}), groups: make(map[group]*history)}
 }
 
-// Observe takes the directory's present state.
+// Observe records the current state of the directory.
 func (a *Advisor) Observe(announced []membership.Announcement, now time.Time) {
 	if a.begun.IsZero() {
 		a.begun = now
@@ -105,7 +108,7 @@
 	}
 }
 
-// unbounded is how many servers the demand needs, also beyond those there are.
+// unbounded returns how many servers the demand needs, even if there are fewer.
 func (d demand) unbounded() float64 { return max(d.byBatches(), d.bySlots(), 1) }
 
 func (h *history) highest(bucket int64) peak {
--- a/coord/placement/advice_test.go
+++ b/coord/placement/advice_test.go
@@ -8,7 +8,7 @@
 	"github.com/rosemarypass/rosemarypass/coord/membership"
 )
 
-func TestAdviceKeepsWhatTheHighestDemandOfADayNeeds(t *testing.T) {
+func TestAdviceCoversPeakDemandOfDay(t *testing.T) {
 	fleet := func(running, obtainable, loadMillis int) []membership.Announcement {
 		var all []membership.Announcement
 		for i := range 10 {
@@ -25,11 +25,11 @@
 		limit             Limit
 	}{
 		{"little demand", fleet(1, 7, 250), fleet(1, 7, 250), time.Minute, 2, 7, LimitSlots},
-		{"a peak hours ago counts", fleet(9, 8, 250), fleet(1, 8, 250), 20 * time.Hour, 8, 1, LimitBatches},
-		{"a peak two days ago does not", fleet(9, 8, 250), fleet(1, 8, 250), 48 * time.Hour, 1, 8, LimitBatches},
-		{"many adapters at once", fleet(4, 3, 250), fleet(1, 8, 250), time.Hour, 9, 0, LimitSlots},
+		{"peak hours ago", fleet(9, 8, 250), fleet(1, 8, 250), 20 * time.Hour, 8, 1, LimitBatches},
+		{"peak two days ago", fleet(9, 8, 250), fleet(1, 8, 250), 48 * time.Hour, 1, 8, LimitBatches},
+		{"many adapters in use", fleet(4, 3, 250), fleet(1, 8, 250), time.Hour, 9, 0, LimitSlots},
 		{"more demand than servers", fleet(40, 0, 250), fleet(1, 8, 250), time.Hour, 34, 0, LimitBatches},
-		{"a store that fell behind", fleet(1, 8, 250), fleet(1, 8, 4000), time.Hour, 1, 0, LimitLoads},
+		{"slow store", fleet(1, 8, 250), fleet(1, 8, 4000), time.Hour, 1, 0, LimitLoads},
 	}
 	for _, c := range cases {
 		a := NewAdvisor()
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestAdviceStopsTheServersThatEntriesUseLast(t *testing.T) {
+func TestAdviceStopsLeastPreferredServers(t *testing.T) {
 	var all []membership.Announcement
 	for i := range 6 {
 		all = append(all, engine(fmt.Sprintf("s%d", i), idle()))
@@ -52,7 +52,7 @@
 	view := NewView(all, start)
 	for i, name := range a.Advise(start)[0].Stoppable {
 		if want := view.servers[len(all)-1-i].Server; name != want {
-			t.Errorf("place %d: %s, want %s", i, name, want)
+			t.Errorf("position %d: %s, want %s", i, name, want)
 		}
 	}
 }
--- a/coord/placement/affinity.go
+++ b/coord/placement/affinity.go
@@ -1,12 +1,12 @@
 package placement
 
-// affinityStep is the cost, in seconds, of one step down the adapter's
-// rendezvous order.
+// affinityStep is the cost, in seconds, of each position further down the
+// adapter's rendezvous order.
 const affinityStep = 0.005
 
-// Affinity makes all entries agree, without a word between them, on where an
-// adapter that is nowhere yet should go, so that it is loaded once and not
-// once per entry. It yields to any real difference in wait.
+// Affinity makes all entries agree, without communication, on where to load an
+// adapter that no server holds, so that it is loaded once and not once per
+// entry. Any significant difference in wait outweighs it.
 func Affinity(c *Candidate, _ *Estimates) float64 {
 	return affinityStep * float64(min(c.Preference, maxPreference))
 }
--- a/coord/placement/datacentre.go
+++ b/coord/placement/datacentre.go
@@ -1,11 +1,10 @@
 package placement
 
-// crossingCost is the time, in seconds, that a request loses between two data
-// centres and back.
+// crossingCost is the round-trip time between two data centres, in seconds.
 const crossingCost = 0.002
 
-// DataCentre prefers servers in the viewer's own data centre among equals. A
-// server without a data centre counts as near.
+// DataCentre prefers servers in the viewer's own data centre among otherwise
+// equal servers. A server without a data centre counts as local.
 func DataCentre(c *Candidate, _ *Estimates) float64 {
 	if c.Remote {
 		return crossingCost
--- a/coord/placement/example_test.go
+++ b/coord/placement/example_test.go
@@ -9,8 +9,8 @@
 	"github.com/rosemarypass/rosemarypass/coord/placement"
 )
 
-// One of two engines holds the adapter. It is picked although it is busier, and
-// the other one when it has declined the request.
+// One of two engines holds the adapter. It is picked although it is busier.
+// After it declines the request, the other engine is picked.
 func Example() {
 	now := time.Unix(1_000, 0)
 	ref := catalogue.Ref{Adapter: "quote-draft", Version: "7"}
--- a/coord/placement/filters.go
+++ b/coord/placement/filters.go
@@ -6,7 +6,7 @@
 	"github.com/rosemarypass/rosemarypass/coord/membership"
 )
 
-// Serves passes servers of the request's kind, pool and base model.
+// Serves passes servers of the request's kind and of its pool or base model.
 func Serves(request *Request, server *Server) bool {
 	if request.Kind != server.Kind {
 		return false
@@ -17,10 +17,10 @@
 	return server.BaseModel == request.BaseModel
 }
 
-// NotLeaving passes servers that take new work.
+// NotLeaving passes servers that accept new requests.
 func NotLeaving(_ *Request, server *Server) bool { return !server.Leaving }
 
-// NotExcluded passes servers that the request has not tried.
+// NotExcluded passes servers that the request has not tried yet.
 func NotExcluded(request *Request, server *Server) bool {
 	return !slices.Contains(request.Exclude, server.Server)
 }
--- a/coord/placement/health.go
+++ b/coord/placement/health.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// failureCost is the expected wait, in seconds, for each recent attempt
-	// on the server that did not run.
+	// failureCost is the expected wait, in seconds, per recent attempt that did
+	// not run on the server.
 	failureCost = 0.1
-	// maxFailureCost lets even the worst server be tried when all others
+	// maxFailureCost allows even the worst server to be tried when all others
 	// have long queues.
 	maxFailureCost = 5
-	// failureHalfLife is the time in which a failure loses half its weight,
-	// so that a server which recovered is tried again.
+	// failureHalfLife is the time in which a failure loses half its weight, so
+	// that a server that has recovered is tried again.
 	failureHalfLife = 5 * time.Second
 )
 
-// Health avoids servers that lately refused or lost requests of this viewer. A
-// server that fails at once looks idle in its reports, and would otherwise
-// draw all the work and fail it.
+// Health avoids servers that recently refused or lost requests of this viewer.
+// A server that fails immediately looks idle in its reports, and would
+// otherwise attract all requests and fail them.
 func Health(c *Candidate, _ *Estimates) float64 {
 	return min(failureCost*c.Failures, maxFailureCost)
 }
 
-// failures is a count that decays.
+// failures is an exponentially decaying count.
 type failures struct {
 	count float64
 	at    time.Time
--- a/coord/placement/ledger.go
+++ b/coord/placement/ledger.go
@@ -8,7 +8,7 @@
 	"github.com/rosemarypass/rosemarypass/coord/membership"
 )
 
-// maxLedger bounds the dispatches that are remembered of one server whose
+// maxLedger bounds the dispatches and ends remembered for a server whose
 // reports have stopped.
 const maxLedger = 256
 
@@ -21,8 +21,8 @@
 	records     []record
 	sum         int
 	failures    failures
-	// full is true when the server declined for want of a slot since its
-	// last report.
+	// full is set when the server has declined a request for lack of a slot since
+	// its last report.
 	full bool
 }
 
@@ -31,21 +31,21 @@
 	// ref is set for a dispatch and empty for an end.
 	ref   catalogue.Ref
 	delta int
-	// cold is true when the adapter was not known to be there.
+	// cold is set when the adapter was not known to be on the server.
 	cold bool
 }
 
 func (l *ledger) add(ref catalogue.Ref, cold bool, now time.Time) {
 	l.inFlight++
-	l.note(record{at: now, ref: ref, delta: 1, cold: cold})
+	l.appendRecord(record{at: now, ref: ref, delta: 1, cold: cold})
 }
 
 func (l *ledger) end(now time.Time) {
 	l.inFlight--
-	l.note(record{at: now, delta: -1})
+	l.appendRecord(record{at: now, delta: -1})
 }
 
-func (l *ledger) note(r record) {
+func (l *ledger) appendRecord(r record) {
 	if len(l.records) == maxLedger {
 		l.records = slices.Delete(l.records, 0, maxLedger/2)
 	}
@@ -53,12 +53,12 @@
 	l.sum += r.delta
 }
 
-// maxReportAge is how old the load report of an announced server may be. A
-// directory that sends only what changed does not repeat a report which is the
-// same as the last, so what is older counts as reported.
+// maxReportAge is the maximum age of an announced server's load report. A
+// directory that sends only changes does not repeat an unchanged report, so
+// everything older counts as reported.
 const maxReportAge = 5 * time.Second
 
-// reported drops what a new report includes: all that happened before upTo.
+// reported drops the records that a new report includes: those before upTo.
 func (l *ledger) reported(a *membership.Announcement, upTo time.Time) {
 	if l.isNew(a) {
 		l.full = false
@@ -83,11 +83,11 @@
 		slices.Equal(a.Resident, b.Resident) && slices.Equal(a.Loading, b.Loading)
 }
 
-// delta is the change of the requests in flight since the report.
+// delta returns the change in requests in flight since the report.
 func (l *ledger) delta() int { return l.sum }
 
-// since reports whether the adapter was sent there since the report, and how
-// many dispatches of other adapters each take a slot.
+// since reports whether the adapter was dispatched to the server since the
+// report, and how many dispatches of other adapters have each taken a slot.
 func (l *ledger) since(ref catalogue.Ref) (sent bool, taken int) {
 	for i := range l.records {
 		r := &l.records[i]
--- a/coord/placement/loadwait.go
+++ b/coord/placement/loadwait.go
@@ -2,13 +2,13 @@
 
 import "github.com/rosemarypass/rosemarypass/coord/membership"
 
-// arrivingShare is the part of a load time that is left, on average, of a load
-// that has begun.
+// arrivingShare is the mean remaining fraction of the load time for a load in
+// progress.
 const arrivingShare = 0.5
 
-// LoadWait is the wait for the adapter: none where it is loaded, what is left
-// of a load on its way, else a load, and before it the wait for a slot when
-// every slot serves requests.
+// LoadWait is the wait for the adapter: none where it is loaded, the remaining
+// load time where a load is in progress, otherwise a full load time, preceded
+// by the wait for a slot when every slot is in use.
 func LoadWait(c *Candidate, e *Estimates) float64 {
 	if c.Kind != membership.KindEngine || c.Resident {
 		return 0
--- a/coord/placement/packer.go
+++ b/coord/placement/packer.go
@@ -8,23 +8,24 @@
 )
 
 const (
-	// batchTarget and slotTarget are the use of batches and slots up to which
-	// a server is filled; the rest absorbs bursts.
+	// batchTarget and slotTarget are the target utilization of batches and slots;
+	// the remainder absorbs bursts.
 	batchTarget = 0.75
 	slotTarget  = 0.75
-	// shrinkTime is the time constant by which fewer servers are used when
-	// demand falls. Growing is at once: a queue would form.
+	// shrinkTime is the time constant with which the number of servers in use
+	// falls with demand. It rises immediately, because a queue would form
+	// otherwise.
 	shrinkTime = 30 * time.Second
 )
 
-// packer decides how many servers of each group the work is packed on.
+// packer determines on how many servers of each group the requests are packed.
 type packer struct {
 	packing float64
 	need    map[group]float64
 	at      time.Time
 }
 
-// active is how many servers to use, 0 for all.
+// active returns the number of servers to use, 0 for all.
 func (p *packer) active(g group) int {
 	if p.packing == 0 {
 		return 0
@@ -32,14 +33,14 @@
 	return int(math.Ceil(p.need[g]))
 }
 
-// demand sums what one group serves now.
+// demand is the total current load and capacity of one group.
 type demand struct {
 	servers            int
 	inFlight, capacity float64
 	pinned, slots      float64
 }
 
-// needed is how many servers could carry the demand at the targets.
+// needed returns how many servers carry the demand at the target utilization.
 func (d demand) needed() float64 {
 	return min(max(d.byBatches(), d.bySlots(), 1), float64(d.servers))
 }
@@ -89,7 +90,7 @@
 	}
 }
 
-// learn refreshes the estimates from the view.
+// learn updates the estimates from the view.
 func (s *Selector) learn(now time.Time) {
 	reported, own, loads, sum := 0, 0, 0, 0
 	for i := range s.view.servers {
--- a/coord/placement/placement.go
+++ b/coord/placement/placement.go
@@ -1,9 +1,10 @@
 // Package placement chooses a backend server for a request.
 //
-// A View is an immutable picture of the announced servers. Filters rule
-// servers out, scorers say how many seconds the request would wait on each,
-// and Picker takes the server with the least. Selector keeps what one entry
-// knows beyond the view: its own dispatches since each load report.
+// A View is an immutable snapshot of the announced servers. Filters exclude
+// servers, scorers estimate how many seconds the request would wait on each,
+// and Picker sums the scores; the server with the lowest total is chosen.
+// Selector maintains what one entry knows beyond the view: its own dispatches
+// since each load report.
 package placement
 
 import (
@@ -14,7 +15,7 @@
 	"github.com/rosemarypass/rosemarypass/coord/prefixcache"
 )
 
-// Request is what placement needs to know about a request.
+// Request holds the properties of a request that placement depends on.
 type Request struct {
 	Kind membership.Kind
 	// Pool is the plain service's name; empty for engines.
@@ -22,46 +23,51 @@
 	// Ref and BaseModel are set for engines.
 	Ref       catalogue.Ref
 	BaseModel string
-	// Prefix names the blocks of the prompt; empty when it is not known.
+	// Prefix identifies the blocks of the prompt; empty when unknown.
 	Prefix []prefixcache.Block
-	// Exclude names servers that this request already tried.
+	// Exclude lists the servers that this request has already tried.
 	Exclude []string
 }
 
-// Estimates are what the viewer has learnt about the site.
+// Estimates are the viewer's estimates for the site.
 type Estimates struct {
-	// LoadTime is how long an adapter takes to arrive, permit included.
+	// LoadTime is the time to load an adapter, including the wait for a permit.
 	LoadTime time.Duration
 	// ServiceTime is how long a request runs.
 	ServiceTime time.Duration
-	// Active is how many servers the work should be packed on; 0 is all.
+	// Active is the number of servers to pack requests on; 0 means all.
 	Active int
 }
 
-// Candidate is a server as the viewer believes it to be now.
+// Candidate is the viewer's current estimate of a server's state.
 type Candidate struct {
 	*Server
-	// InFlight counts requests there, corrected by the viewer's own dispatches.
+	// InFlight is the number of requests on the server, corrected by the viewer's
+	// own dispatches.
 	InFlight float64
-	// Resident is true when the adapter is loaded; Arriving when it is on its way.
+	// Resident is true when the adapter is loaded; Arriving when its load is in
+	// progress.
 	Resident bool
 	Arriving bool
-	// Obtainable counts slots that the adapter could get.
+	// Obtainable is the number of slots that the adapter could get.
 	Obtainable int
-	// Remote is true in another data centre than the viewer's.
+	// Remote is true when the server is in another data centre than the viewer.
 	Remote bool
-	// Failures counts recent attempts that did not run, with decay.
+	// Failures is the decaying count of recent attempts that did not run.
 	Failures float64
-	// Preference is the server's place in the adapter's rendezvous order, from 0.
+	// Preference is the server's position in the adapter's rendezvous order, from
+	// 0.
 	Preference int
-	// CachedBlocks is how much of the prompt's prefix the engine is expected to hold.
+	// CachedBlocks is the expected number of blocks of the prompt's prefix that
+	// the engine holds.
 	CachedBlocks float64
 }
 
-// Filter says whether a server may run the request.
+// Filter reports whether a server may run the request.
 type Filter func(*Request, *Server) bool
 
-// Scorer says how many seconds the request would wait on a candidate for one cause.
+// Scorer returns how many seconds the request would wait on a candidate for one
+// reason.
 type Scorer func(*Candidate, *Estimates) float64
 
 // Picker combines filters and scorers.
@@ -78,7 +84,7 @@
 	}
 }
 
-// NewCustomPicker returns a picker with other filters and scorers.
+// NewCustomPicker returns a picker with the given filters and scorers.
 func NewCustomPicker(filters []Filter, scorers []Scorer) *Picker {
 	return &Picker{filters: filters, scorers: scorers}
 }
@@ -93,7 +99,7 @@
 	return true
 }
 
-// Cost is the expected wait on a candidate, in seconds.
+// Cost returns the expected wait on a candidate, in seconds.
 func (p *Picker) Cost(candidate *Candidate, estimates *Estimates) float64 {
 	total := 0.0
 	for _, scorer := range p.scorers {
--- a/coord/placement/placement_test.go
+++ b/coord/placement/placement_test.go
@@ -32,7 +32,7 @@
 	return membership.Load{Obtainable: 8, Resident: resident}
 }
 
-func ask(i int, exclude ...string) Request {
+func newRequest(i int, exclude ...string) Request {
 	return Request{Kind: membership.KindEngine, Ref: adapter(i), BaseModel: model, Exclude: exclude}
 }
 
@@ -42,18 +42,18 @@
 	return s
 }
 
-func TestFiltersRuleServersOut(t *testing.T) {
+func TestFiltersExcludeServers(t *testing.T) {
 	leaving := engine("leaving", idle())
 	leaving.Leaving = true
 	other := engine("other", idle())
 	other.BaseModel = "another"
 	desk := membership.Announcement{Server: "desk", Kind: membership.KindService, Pool: "desk"}
 	s := selector(SelectorOptions{}, leaving, other, desk, engine("tried", idle()))
-	if got, ok := s.Pick(ask(1), start); !ok || got.Server != "tried" {
+	if got, ok := s.Pick(newRequest(1), start); !ok || got.Server != "tried" {
 		t.Errorf("picked %q", got.Server)
 	}
-	if got, ok := s.Pick(ask(1, "tried"), start); ok {
-		t.Errorf("picked %q, which must not run the request", got.Server)
+	if got, ok := s.Pick(newRequest(1, "tried"), start); ok {
+		t.Errorf("picked %q, which is excluded", got.Server)
 	}
 	if got, ok := s.Pick(Request{Kind: membership.KindService, Pool: "desk"}, start); !ok || got.Server != "desk" {
 		t.Errorf("picked %q for the service", got.Server)
@@ -75,21 +75,21 @@
 		want      float64
 	}{
 		{"empty batch", QueueWait, Candidate{Server: server(0)}, 0},
-		{"full batch waits", QueueWait, Candidate{Server: server(0), InFlight: 14}, crowding + 1},
+		{"full batch waits", QueueWait, Candidate{Server: server(0), InFlight: 14}, fullBatchCost + 1},
 		{"resident", LoadWait, Candidate{Server: server(0), Resident: true}, 0},
 		{"arriving", LoadWait, Candidate{Server: server(0), Arriving: true}, 0.5},
 		{"free slot", LoadWait, Candidate{Server: server(0), Obtainable: 1}, 1},
 		{"no free slot", LoadWait, Candidate{Server: server(0)}, 1.25},
 		{"overbooked slots", LoadWait, Candidate{Server: server(0), Obtainable: -3}, 2},
-		{"a rare adapter goes", EvictionCost, Candidate{Server: victim(1)}, evictionCost},
-		{"a popular adapter goes", EvictionCost, Candidate{Server: victim(1000)}, maxEvictionCost},
-		{"nothing goes", EvictionCost, Candidate{Server: victim(1000), Resident: true}, 0},
+		{"rare adapter evicted", EvictionCost, Candidate{Server: victim(1)}, evictionCost},
+		{"popular adapter evicted", EvictionCost, Candidate{Server: victim(1000)}, maxEvictionCost},
+		{"nothing evicted", EvictionCost, Candidate{Server: victim(1000), Resident: true}, 0},
 		{"another data centre", DataCentre, Candidate{Server: server(0), Remote: true}, crossingCost},
-		{"failed lately", Health, Candidate{Server: server(0), Failures: 3}, 3 * failureCost},
-		{"fails always", Health, Candidate{Server: server(0), Failures: 1000}, maxFailureCost},
+		{"few recent failures", Health, Candidate{Server: server(0), Failures: 3}, 3 * failureCost},
+		{"many recent failures", Health, Candidate{Server: server(0), Failures: 1000}, maxFailureCost},
 		{"second choice", Affinity, Candidate{Server: server(0), Preference: 1}, affinityStep},
-		{"active", Packing, Candidate{Server: server(1)}, 0},
-		{"beyond the active", Packing, Candidate{Server: server(2)}, packingCost},
+		{"active server", Packing, Candidate{Server: server(1)}, 0},
+		{"beyond the active servers", Packing, Candidate{Server: server(2)}, packingCost},
 	}
 	for _, c := range cases {
 		if got := c.scorer(&c.candidate, e); got < c.want-1e-9 || got > c.want+1e-9 {
@@ -98,82 +98,82 @@
 	}
 }
 
-func TestResidentServerIsPreferredUntilItsQueueIsLongerThanALoad(t *testing.T) {
+func TestResidentServerIsPreferredUntilQueueExceedsLoad(t *testing.T) {
 	busy := idle(adapter(1))
 	busy.Running = 15
 	s := selector(SelectorOptions{}, engine("holds", busy), engine("empty", idle()))
-	if got, _ := s.Pick(ask(1), start); got.Server != "holds" {
+	if got, _ := s.Pick(newRequest(1), start); got.Server != "holds" {
 		t.Errorf("picked %q with room in the batch", got.Server)
 	}
 	busy.Running = 40
 	s = selector(SelectorOptions{}, engine("holds", busy), engine("empty", idle()))
-	if got, _ := s.Pick(ask(1), start); got.Server != "empty" {
+	if got, _ := s.Pick(newRequest(1), start); got.Server != "empty" {
 		t.Errorf("picked %q behind a queue", got.Server)
 	}
 }
 
-// Entries that do not know of each other would each load a rare adapter on
-// another server: callers wait for several loads of the same thing.
-func TestEntriesAgreeWhereARareAdapterGoes(t *testing.T) {
+// If entries did not agree, each would load a rare adapter on another server,
+// and callers would wait for several loads of the same adapter.
+func TestEntriesAgreeOnServerForRareAdapter(t *testing.T) {
 	var announced []membership.Announcement
 	for i := range 18 {
 		announced = append(announced, engine(fmt.Sprintf("s%d", i), idle()))
 	}
 	for i := range 50 {
-		first, _ := selector(SelectorOptions{Salt: 1}, announced...).Pick(ask(i), start)
-		second, _ := selector(SelectorOptions{Salt: 2}, announced...).Pick(ask(i), start)
+		first, _ := selector(SelectorOptions{Salt: 1}, announced...).Pick(newRequest(i), start)
+		second, _ := selector(SelectorOptions{Salt: 2}, announced...).Pick(newRequest(i), start)
 		if first.Server != second.Server {
-			t.Errorf("adapter %d goes to %s and %s", i, first.Server, second.Server)
+			t.Errorf("adapter %d goes to %s at one entry and to %s at another", i, first.Server, second.Server)
 		}
 	}
 }
 
-// Reports lag. Without its own count an entry would send a whole burst to the
-// server that was the least loaded in the last report.
-func TestOwnDispatchesCorrectALaggingReport(t *testing.T) {
+// Load reports lag behind. Without counting its own dispatches, an entry would
+// send a whole burst to the server that had the lowest load in the last report.
+func TestOwnDispatchesCorrectLaggingReport(t *testing.T) {
 	s := selector(SelectorOptions{}, engine("a", idle(adapter(1))), engine("b", idle(adapter(1))))
 	sent := map[string]int{}
 	for range 40 {
-		got, _ := s.Pick(ask(1), start)
+		got, _ := s.Pick(newRequest(1), start)
 		s.Dispatched(got.Server, adapter(1), start)
 		sent[got.Server]++
 	}
 	if sent["a"] < 15 || sent["b"] < 15 {
-		t.Errorf("a burst was spread as %v", sent)
+		t.Errorf("a burst of 40 requests was spread as %v, want at least 15 on each", sent)
 	}
 }
 
-func known(s *Selector) Candidate {
-	s.rate(&s.view.servers[0], &Request{Ref: adapter(1)}, 0, start)
+func firstCandidate(s *Selector) Candidate {
+	s.fillCandidate(&s.view.servers[0], &Request{Ref: adapter(1)}, 0, start)
 	return s.scratch
 }
 
-func TestLedgerForgetsWhatAReportIncludes(t *testing.T) {
+func TestLedgerDropsReportedDispatches(t *testing.T) {
 	s := selector(SelectorOptions{ReportLag: time.Second}, engine("a", idle()))
 	s.Dispatched("a", adapter(1), start.Add(time.Second))
 	s.Dispatched("a", adapter(1), start.Add(3*time.Second))
 	next := engine("a", membership.Load{Running: 1, Obtainable: 8})
 	next.Sequence = 2
 	s.Observe([]membership.Announcement{next}, start.Add(3*time.Second))
-	c := known(s)
+	c := firstCandidate(s)
 	if c.InFlight != 2 || !c.Arriving {
 		t.Errorf("in flight %v, arriving %t; want the reported one and the later one", c.InFlight, c.Arriving)
 	}
 	s.Observe([]membership.Announcement{next}, start.Add(7*time.Second))
-	if c := known(s); c.InFlight != 2 {
-		t.Errorf("the same report came again: in flight %v, want 2", c.InFlight)
+	if c := firstCandidate(s); c.InFlight != 2 {
+		t.Errorf("after an unchanged report: in flight %v, want 2", c.InFlight)
 	}
 	changed := next
 	changed.Load.Running = 2
 	s.Observe([]membership.Announcement{changed}, start.Add(8*time.Second))
-	if c := known(s); c.InFlight != 2 || c.Arriving {
-		t.Errorf("a report without a new number changed: in flight %v, want the 2 reported", c.InFlight)
+	if c := firstCandidate(s); c.InFlight != 2 || c.Arriving {
+		t.Errorf("after a changed report with the same sequence number: in flight %v, want the 2 reported", c.InFlight)
 	}
 }
 
-// A server back from a restart has no load and no adapters. It must get work
-// again, but a flood of loads would stall all of it.
-func TestAServerJustBackGetsItsShareOfRareAdapters(t *testing.T) {
+// A server that has just restarted has no load and no adapters. It must get
+// requests again, but not so many loads at once that all of them stall.
+func TestRestartedServerGetsShareOfRareAdapters(t *testing.T) {
 	var announced []membership.Announcement
 	for i := range 6 {
 		load := idle()
@@ -183,26 +183,27 @@
 		announced = append(announced, engine(fmt.Sprintf("s%d", i), load))
 	}
 	s := selector(SelectorOptions{}, announced...)
-	back := 0
+	restarted := 0
 	for i := range 60 {
-		got, _ := s.Pick(ask(i), start)
+		got, _ := s.Pick(newRequest(i), start)
 		s.Dispatched(got.Server, adapter(i), start)
 		if got.Server == "s0" {
-			back++
+			restarted++
 		}
 	}
-	if back == 0 || back > 30 {
-		t.Errorf("the server just back got %d of 60 loads", back)
+	if restarted == 0 || restarted > 30 {
+		t.Errorf("the restarted server got %d of 60 loads", restarted)
 	}
 }
 
-// A server that fails each request at once always looks the least loaded. It
-// would draw the work of all callers and fail it, until operators notice.
-func TestServerThatFailsAtOnceIsAvoidedAndTriedAgain(t *testing.T) {
+// A server that fails each request immediately always looks the least loaded.
+// It would attract the requests of all callers and fail them until an operator
+// intervenes.
+func TestFailingServerIsAvoidedAndTriedAgain(t *testing.T) {
 	s := selector(SelectorOptions{}, engine("fails", idle(adapter(1))), engine("works", membership.Load{Running: 10, Obtainable: 8}))
 	failed := 0
 	for range 100 {
-		got, _ := s.Pick(ask(1), start)
+		got, _ := s.Pick(newRequest(1), start)
 		s.Dispatched(got.Server, adapter(1), start)
 		ran := time.Second
 		if got.Server == "fails" {
@@ -214,29 +215,29 @@
 	if failed == 0 || failed > 10 {
 		t.Errorf("%d of 100 requests went to the server that fails", failed)
 	}
-	if got, _ := s.Pick(ask(1), start.Add(time.Minute)); got.Server != "fails" {
-		t.Errorf("a minute later the request went to %q, though the other has recovered", got.Server)
+	if got, _ := s.Pick(newRequest(1), start.Add(time.Minute)); got.Server != "fails" {
+		t.Errorf("after a minute the request went to %q, want the server that failed before", got.Server)
 	}
 }
 
-// A server that was full a moment ago is full for the next request too, until
-// it says otherwise.
-func TestDecliningServerCountsAsFullUntilItsNextReport(t *testing.T) {
+// A server that declined a request for lack of a slot counts as full for the
+// next request too, until its next report.
+func TestDecliningServerCountsAsFullUntilNextReport(t *testing.T) {
 	s := selector(SelectorOptions{}, engine("a", idle()))
 	s.Dispatched("a", adapter(2), start)
 	s.Declined("a", start)
-	if c := known(s); c.Obtainable > 0 || c.Failures != 0 || c.InFlight != 0 {
+	if c := firstCandidate(s); c.Obtainable > 0 || c.Failures != 0 || c.InFlight != 0 {
 		t.Errorf("after a decline: %+v", c)
 	}
 	next := engine("a", idle())
 	next.Sequence = 2
 	s.Observe([]membership.Announcement{next}, start.Add(time.Second))
-	if c := known(s); c.Obtainable != 8 {
+	if c := firstCandidate(s); c.Obtainable != 8 {
 		t.Errorf("%d slots after the next report, want 8", c.Obtainable)
 	}
 }
 
-func TestNearServerIsPreferredAmongEquals(t *testing.T) {
+func TestLocalServerIsPreferredAmongEquals(t *testing.T) {
 	far, near := engine("far", idle(adapter(1))), engine("near", idle(adapter(1)))
 	far.DataCentre, near.DataCentre = "fold-bay", "press-hall"
 	far.Load.Running, near.Load.Running = 1, 1
@@ -244,7 +245,7 @@
 	s := NewSelector(picker, SelectorOptions{DataCentre: "press-hall"})
 	s.Observe([]membership.Announcement{far, near}, start)
 	for range 50 {
-		if got, _ := s.Pick(ask(1), start); got.Server != "near" {
+		if got, _ := s.Pick(newRequest(1), start); got.Server != "near" {
 			t.Fatalf("picked %q among equals", got.Server)
 		}
 	}
@@ -280,8 +281,8 @@
 	}
 }
 
-// BenchmarkPick is the cost of one routing decision. A view of 600 servers
-// holds 8 adapters each.
+// BenchmarkPick measures one routing decision. Each server of the view holds 8
+// adapters.
 func BenchmarkPick(b *testing.B) {
 	for _, size := range []struct{ servers, adapters int }{{22, 3_000}, {22, 130_000}, {600, 3_000}, {600, 130_000}} {
 		b.Run(fmt.Sprintf("servers=%d/adapters=%d", size.servers, size.adapters), func(b *testing.B) {
@@ -289,7 +290,7 @@
 			s := selector(SelectorOptions{Packing: 0.5}, announced...)
 			requests := make([]Request, 4096)
 			for i := range requests {
-				requests[i] = ask(i * size.adapters / len(requests))
+				requests[i] = newRequest(i * size.adapters / len(requests))
 			}
 			b.ReportAllocs()
 			now, sequence := start, uint64(1)
@@ -311,8 +312,8 @@
 }
 
 const (
-	// picksPerReport and pickInterval give 250 requests a second at one
-	// entry, and new load reports once a second.
+	// picksPerReport and pickInterval give 250 requests per second at one entry
+	// and new load reports once a second.
 	picksPerReport = 250
 	pickInterval   = 4 * time.Millisecond
 )
@@ -325,7 +326,7 @@
 	return next
 }
 
-// BenchmarkObserve is the cost of taking a new directory state.
+// BenchmarkObserve measures the processing of a new directory state.
 func BenchmarkObserve(b *testing.B) {
 	for _, servers := range []int{22, 600} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -351,8 +352,9 @@
 	return announced
 }
 
-// BenchmarkMemory is what one entry's selector holds per announced server with
-// 8 adapters. The adapters of the catalogue cost it nothing.
+// BenchmarkMemory measures the memory of one entry's selector per announced
+// server with 8 adapters. Adapters of the catalogue that no server holds take
+// no memory.
 func BenchmarkMemory(b *testing.B) {
 	for _, servers := range []int{22, 600} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
--- a/coord/placement/prefixsaved_test.go
+++ b/coord/placement/prefixsaved_test.go
@@ -7,9 +7,9 @@
 	"github.com/rosemarypass/rosemarypass/coord/prefixcache"
 )
 
-// The server that holds the prefix draws the prompt, until waiting there or
-// the adapter's absence costs more than computing the prefix again.
-func TestPrefixDrawsUntilAWaitIsLonger(t *testing.T) {
+// The server that holds the prefix attracts the prompt until waiting there, or
+// loading the adapter there, costs more than computing the prefix again.
+func TestPrefixIsPreferredUntilWaitIsLonger(t *testing.T) {
 	prefix := make([]prefixcache.Block, 10)
 	for i := range prefix {
 		prefix[i] = prefixcache.Block(i + 1)
@@ -19,24 +19,24 @@
 		load membership.Load
 		want string
 	}{
-		{"as free as the other", idle(adapter(1)), "holder"},
-		{"batch half full", membership.Load{Obtainable: 8, Running: 8, Resident: idle(adapter(1)).Resident}, "holder"},
+		{"equal load", idle(adapter(1)), "holder"},
+		{"half-full batch", membership.Load{Obtainable: 8, Running: 8, Resident: idle(adapter(1)).Resident}, "holder"},
 		{"queue of a quarter of a batch", membership.Load{Obtainable: 8, Running: 16, Waiting: 4, Resident: idle(adapter(1)).Resident}, "other"},
-		{"adapter gone", idle(), "other"},
+		{"adapter evicted", idle(), "other"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := selector(SelectorOptions{}, engine("holder", c.load), engine("other", idle(adapter(1))))
 			s.DispatchedPrompt("holder", prefix)
-			request := ask(1)
+			request := newRequest(1)
 			request.Prefix = prefix
 			if got, _ := s.Pick(request, start); got.Server != c.want {
-				t.Errorf("went to %s", got.Server)
+				t.Errorf("picked the wrong server: %s", got.Server)
 			}
 		})
 	}
 }
 
-func TestPrefixKeepsNoServerBeyondTheActiveInUse(t *testing.T) {
+func TestPrefixSavedOnActiveServersOnly(t *testing.T) {
 	for _, c := range []struct {
 		active, rank int
 		blocks, want float64
--- a/coord/placement/queuewait.go
+++ b/coord/placement/queuewait.go
@@ -1,21 +1,22 @@
 package placement
 
 const (
-	// crowding is the cost, in seconds, of a batch that is just full: small
-	// beside a load, so that it only decides between servers that are alike.
-	crowding = 0.03
-	// defaultCapacity stands in for a capacity that was not reported.
+	// fullBatchCost is the cost, in seconds, of a batch that is just full: small
+	// compared to a load, so that it decides only between otherwise equal
+	// servers.
+	fullBatchCost = 0.03
+	// defaultCapacity is used when no capacity was reported.
 	defaultCapacity = 1
 )
 
 // QueueWait is the wait for a place in the engine's batch. Below its capacity
-// an engine has room, and the cost only spreads the work.
+// the engine has room, and the cost only spreads the requests.
 func QueueWait(c *Candidate, e *Estimates) float64 {
 	capacity := float64(max(c.Load.Capacity, defaultCapacity))
 	use := c.InFlight / capacity
 	if use < 1 {
-		return crowding * use * use
+		return fullBatchCost * use * use
 	}
 	excess := c.InFlight - capacity + 1
-	return crowding + excess/capacity*e.ServiceTime.Seconds()
+	return fullBatchCost + excess/capacity*e.ServiceTime.Seconds()
 }
--- a/coord/placement/rendezvous.go
+++ b/coord/placement/rendezvous.go
@@ -6,12 +6,12 @@
 	"github.com/rosemarypass/rosemarypass/coord/catalogue"
 )
 
-// choices is how many servers of an adapter's rendezvous order are weighed.
+// choices is how many servers of an adapter's rendezvous order are considered.
 const choices = 4
 
-// rendezvous is the first servers of an adapter's order (highest random weight
-// hashing): each viewer finds the same, and a server that comes or goes moves
-// only its own adapters.
+// rendezvous holds the first servers of an adapter's order (highest random
+// weight hashing). All viewers compute the same order, and a server that joins
+// or leaves moves only its own adapters.
 type rendezvous struct {
 	servers [choices]int32
 	weights [choices]uint64
--- a/coord/placement/selector.go
+++ b/coord/placement/selector.go
@@ -10,20 +10,23 @@
 	"github.com/rosemarypass/rosemarypass/coord/prefixcache"
 )
 
-// SelectorOptions tune a Selector. Zero values take the defaults, but for Packing.
+// SelectorOptions configures a Selector. Zero values select the defaults,
+// except for Packing.
 type SelectorOptions struct {
-	// Packing weighs batch efficiency against load stalls: 0 spreads the work
-	// over all servers, 1 packs it on as few as can carry it.
+	// Packing is the trade-off between batch efficiency and load stalls: 0
+	// spreads requests over all servers, 1 packs them on the fewest that can
+	// carry them.
 	Packing float64
-	// ReportLag is how old a load report is when it arrives; dispatches within
-	// it are taken as not yet reported.
+	// ReportLag is the age of a load report on arrival; dispatches within it
+	// count as not yet reported.
 	ReportLag time.Duration
 	// LoadTime and ServiceTime are the estimates before the first measurement.
 	LoadTime    time.Duration
 	ServiceTime time.Duration
-	// DataCentre is the viewer's own; empty counts every server as near.
+	// DataCentre is the viewer's data centre; when empty, every server counts as
+	// local.
 	DataCentre string
-	// Salt makes two entries break ties differently.
+	// Salt differs between entries so that they break ties differently.
 	Salt uint64
 }
 
@@ -33,11 +36,13 @@
 	defaultServiceTime = 2 * time.Second
 	// serviceGain is the weight of a new measurement of the service time.
 	serviceGain = 0.05
-	// tieJitter spreads choices that differ by less, in seconds.
+	// tieJitter is the range of the random cost, in seconds, that spreads
+	// requests between servers whose costs differ by less.
 	tieJitter = 0.002
 )
 
-// Selector chooses servers for one entry. One duty owns it, or a lock guards it.
+// Selector chooses servers for one entry. It is not safe for concurrent use:
+// one goroutine owns it, or a lock guards it.
 type Selector struct {
 	options   SelectorOptions
 	picker    *Picker
@@ -48,12 +53,12 @@
 	estimates Estimates
 	scale     float64
 	draws     uint64
-	// scratch is the candidate being rated; a new one for each would cost an
-	// allocation.
+	// scratch is the candidate being evaluated, reused to avoid an allocation per
+	// candidate.
 	scratch Candidate
 }
 
-// NewSelector returns a selector that knows no servers.
+// NewSelector returns a selector without servers.
 func NewSelector(picker *Picker, options SelectorOptions) *Selector {
 	options.ReportLag = cmp.Or(options.ReportLag, defaultReportLag)
 	options.LoadTime = cmp.Or(options.LoadTime, defaultLoadTime)
@@ -70,8 +75,9 @@
 	}
 }
 
-// Observe takes the directory's present state. Announcements that are not
-// newer than the last keep the dispatches counted since.
+// Observe updates the selector to the current state of the directory. When an
+// announcement is not newer than the last one, the dispatches counted since
+// then are kept.
 func (s *Selector) Observe(announced []membership.Announcement, now time.Time) {
 	s.view = NewView(announced, now)
 	for i := range s.view.servers {
@@ -99,7 +105,7 @@
 	}
 }
 
-// CacheEvent takes an engine's report of its prefix cache.
+// CacheEvent applies an engine's report about its prefix cache.
 func (s *Selector) CacheEvent(event prefixcache.Event) { s.prefixes.Apply(event) }
 
 func (s *Selector) holds(server string, ref catalogue.Ref) bool {
@@ -107,8 +113,8 @@
 	return known && slices.Contains(s.view.holding[ref], i)
 }
 
-// Finished records that a dispatched request ended there; ran is how long it
-// ran, 0 when it did not run.
+// Finished records that a dispatched request ended on a server. ran is the time
+// that it ran, 0 when it did not run.
 func (s *Selector) Finished(server string, ref catalogue.Ref, ran time.Duration, now time.Time) {
 	l := s.ledger(server)
 	l.end(now)
@@ -121,8 +127,8 @@
 	}
 }
 
-// Declined records that a server sent a request back for want of a slot. That
-// is no failure, but until its next report the server counts as full.
+// Declined records that a server returned a request for lack of a slot. This is
+// not a failure, but the server counts as full until its next report.
 func (s *Selector) Declined(server string, now time.Time) {
 	l := s.ledger(server)
 	l.end(now)
@@ -138,11 +144,11 @@
 	return l
 }
 
-// Estimates are what the selector has learnt.
+// Estimates returns the selector's current estimates.
 func (s *Selector) Estimates() Estimates { return s.estimates }
 
-// Pick returns the server with the least expected wait, or false when none
-// passes the filters.
+// Pick returns the server with the lowest expected wait, or false when no
+// server passes the filters.
 func (s *Selector) Pick(request Request, now time.Time) (Server, bool) {
 	g := groupOf(request.Kind, request.Pool, request.BaseModel)
 	estimates := s.estimates
@@ -152,14 +158,14 @@
 		estimates.Active = 0
 	}
 	c := choice{request: &request, estimates: &estimates, now: now, best: -1}
-	s.weigh(&c, g)
+	s.considerGroup(&c, g)
 	if c.best < 0 {
 		return Server{}, false
 	}
 	return s.view.servers[c.best], true
 }
 
-// choice is one decision under way.
+// choice is the state of one decision.
 type choice struct {
 	request   *Request
 	estimates *Estimates
@@ -169,16 +175,16 @@
 	cost      float64
 }
 
-// weigh considers every server of a small group. In a large one it considers
-// those that hold the adapter, the first of its rendezvous order, and a few
-// more, drawn anew for each request.
-func (s *Selector) weigh(c *choice, g group) {
+// considerGroup considers every server of a small group. In a large group it
+// considers the servers that hold the adapter, the first servers of its
+// rendezvous order, and a few others drawn at random for each request.
+func (s *Selector) considerGroup(c *choice, g group) {
 	members := s.view.groups[g]
 	engines := c.request.Kind == membership.KindEngine
 	if engines {
 		c.order = s.order(c.request, members, c.estimates.Active)
 	}
-	if len(members) <= weighAll {
+	if len(members) <= considerAllLimit {
 		for _, i := range members {
 			s.consider(c, i)
 		}
@@ -193,7 +199,7 @@
 		}
 	}
 	hash := refHash(c.request.Ref)
-	for n := range uint64(sampled) {
+	for n := range uint64(sampleSize) {
 		s.consider(c, members[mix(hash+s.draws+n*goldenRatio)%uint64(len(members))])
 	}
 }
@@ -203,7 +209,7 @@
 	if i == c.best || !s.picker.Passes(c.request, server) {
 		return
 	}
-	s.rate(server, c.request, c.order.position(i), c.now)
+	s.fillCandidate(server, c.request, c.order.position(i), c.now)
 	cost := s.picker.Cost(&s.scratch, c.estimates) + s.jitter()
 	if c.best < 0 || cost < c.cost {
 		c.best, c.cost = i, cost
@@ -211,13 +217,14 @@
 }
 
 const (
-	// weighAll is the largest group in which every server is weighed.
-	weighAll = 32
-	// sampled is how many further servers are weighed in larger groups.
-	sampled = 6
+	// considerAllLimit is the size of the largest group in which every server is
+	// considered.
+	considerAllLimit = 32
+	// sampleSize is how many random servers are considered in larger groups.
+	sampleSize = 6
 )
 
-// order is the adapter's rendezvous order among the active servers.
+// order returns the adapter's rendezvous order among the active servers.
 func (s *Selector) order(request *Request, members []int32, active int) rendezvous {
 	if active > 0 && active < len(members) {
 		members = members[:active]
@@ -230,8 +237,8 @@
 	return order
 }
 
-// rate fills scratch with what is known of a server.
-func (s *Selector) rate(server *Server, request *Request, preference int, now time.Time) {
+// fillCandidate sets scratch to the estimated state of a server.
+func (s *Selector) fillCandidate(server *Server, request *Request, preference int, now time.Time) {
 	l := s.own[server.Server]
 	reported := float64(server.Load.Running + server.Load.Waiting)
 	s.scratch = Candidate{
@@ -257,8 +264,8 @@
 	}
 }
 
-// jitter keeps entries that see the same view from all choosing the same of
-// two servers that are alike.
+// jitter keeps entries with the same view from all choosing the same one of two
+// equal servers.
 func (s *Selector) jitter() float64 {
 	s.draws++
 	return tieJitter * float64(mix(s.options.Salt+s.draws*goldenRatio)>>11) / (1 << 53)
--- a/coord/placement/view.go
+++ b/coord/placement/view.go
@@ -14,13 +14,13 @@
 // Server is one server in a view.
 type Server struct {
 	membership.Announcement
-	// Rank is the server's place in its group, from 0. All viewers of the
-	// same servers give the same ranks.
+	// Rank is the server's position in its group, from 0. All viewers of the same
+	// servers compute the same ranks.
 	Rank int
 	hash uint64
 }
 
-// group is a set of servers that can stand in for each other.
+// group is a set of servers that can replace each other.
 type group struct {
 	kind membership.Kind
 	name string
@@ -33,7 +33,7 @@
 	return group{kind: kind, name: baseModel}
 }
 
-// View is an immutable picture of the servers at one moment.
+// View is an immutable snapshot of the servers.
 type View struct {
 	servers []Server
 	groups  map[group][]int32
