--- a/coord/suspicion/strikes.go
+++ b/coord/suspicion/strikes.go
@@ -2,49 +2,51 @@
 
 import "time"
 
-// Strikes counts the servers that crashed while they ran a request, by its
-// fingerprint, without trials: where servers take many requests at once and a
-// resend comes within seconds, a request that has struck enough of them is
-// refused for a time. It is pure; entries tell each other of strikes.
+// Strikes counts, by request fingerprint, the servers that crashed while they
+// ran a request. It replaces trials where servers run many requests at once and
+// retries arrive within seconds: a request that has crashed strikeLimit servers
+// is refused for a time. Strikes does no I/O; entries notify each other of
+// strikes.
 type Strikes struct {
-	records map[uint64]*struck
+	records map[uint64]*strikeRecord
 }
 
-// Strike is one server that crashed under one request.
+// Strike records that one server crashed while it ran a request.
 type Strike struct {
 	Fingerprint uint64 `json:"fingerprint"`
-	// Server is the incarnation that crashed.
+	// Server is the incarnation of the server that crashed.
 	Server string `json:"server"`
 }
 
-type struck struct {
+type strikeRecord struct {
 	servers map[string]bool
 	last    time.Time
 }
 
 const (
-	// strikeLimit is how many servers a request may crash: one crash happens by
-	// itself, two by bad luck under a storm of them.
+	// strikeLimit is the number of server crashes from which a request is
+	// refused: one crash happens without the request's fault, and a second one by
+	// coincidence when many servers crash.
 	strikeLimit = 3
-	// strikeMemory is how long a request is held to its strikes; a caller that
-	// resends it gives up long before.
-	strikeMemory = 5 * time.Minute
-	// maxStruck bounds the requests that are remembered.
-	maxStruck = 4096
+	// strikeLifetime is how long a request is refused after its last strike; a
+	// caller that retries it gives up long before.
+	strikeLifetime = 5 * time.Minute
+	// maxStrikeRecords bounds the number of remembered requests.
+	maxStrikeRecords = 4096
 )
 
-// NewStrikes returns a table without strikes.
-func NewStrikes() *Strikes { return &Strikes{records: make(map[uint64]*struck)} }
+// NewStrikes returns an empty table.
+func NewStrikes() *Strikes { return &Strikes{records: make(map[uint64]*strikeRecord)} }
 
-// Take records a strike and reports whether it is news.
+// Take records a strike and reports whether it is new.
 func (s *Strikes) Take(strike Strike, now time.Time) bool {
 	r := s.records[strike.Fingerprint]
 	if r == nil {
 		s.expire(now)
-		if len(s.records) >= maxStruck {
+		if len(s.records) >= maxStrikeRecords {
 			return false
 		}
-		r = &struck{servers: make(map[string]bool)}
+		r = &strikeRecord{servers: make(map[string]bool)}
 		s.records[strike.Fingerprint] = r
 	}
 	r.last = now
@@ -55,15 +57,15 @@
 	return true
 }
 
-// Held is true for a request that must not run any more.
+// Held reports whether a request must not run.
 func (s *Strikes) Held(fingerprint uint64, now time.Time) bool {
 	r := s.records[fingerprint]
-	return r != nil && len(r.servers) >= strikeLimit && now.Sub(r.last) < strikeMemory
+	return r != nil && len(r.servers) >= strikeLimit && now.Sub(r.last) < strikeLifetime
 }
 
 func (s *Strikes) expire(now time.Time) {
 	for fingerprint, r := range s.records {
-		if now.Sub(r.last) >= strikeMemory {
+		if now.Sub(r.last) >= strikeLifetime {
 			delete(s.records, fingerprint)
 		}
 	}
--- a/coord/suspicion/strikes_test.go
+++ b/coord/suspicion/strikes_test.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// One request crashes each server that runs it, and its caller sends it again
-// and again. After the third server it must not reach another one; everyone
-// else on those servers loses an answer each time.
-func TestARequestIsHeldAfterThreeServers(t *testing.T) {
+// A request crashes each server that runs it, and its caller keeps retrying it.
+// After the third server it must not reach another one, because every other
+// request on those servers fails with each crash.
+func TestRequestIsHeldAfterThreeCrashes(t *testing.T) {
 	s, now := NewStrikes(), time.Unix(1000, 0)
 	for i, server := range []string{"a", "b", "b", "c"} {
 		if s.Held(7, now) {
-			t.Fatalf("it is held before strike %d", i)
+			t.Fatalf("the request is held before strike %d", i)
 		}
-		if news := s.Take(Strike{7, server}, now); news != (i != 2) {
-			t.Errorf("strike %d counts as news: %v", i, news)
+		if isNew := s.Take(Strike{7, server}, now); isNew != (i != 2) {
+			t.Errorf("strike %d counts as new: %v", i, isNew)
 		}
 	}
 	if !s.Held(7, now) || s.Held(8, now) {
-		t.Error("after three servers the request should be held, and no other")
+		t.Error("after crashes of three servers the request should be held, and no other")
 	}
-	if s.Held(7, now.Add(strikeMemory)) {
-		t.Error("it is held for good")
+	if s.Held(7, now.Add(strikeLifetime)) {
+		t.Error("the request is still held after its strikes have expired")
 	}
 }
 
 func TestStrikesAreBounded(t *testing.T) {
 	s, now := NewStrikes(), time.Unix(1000, 0)
-	for i := range uint64(2 * maxStruck) {
+	for i := range uint64(2 * maxStrikeRecords) {
 		s.Take(Strike{i, "a"}, now)
 	}
-	if len(s.records) > maxStruck {
+	if len(s.records) > maxStrikeRecords {
 		t.Errorf("%d requests are remembered", len(s.records))
 	}
-	s.Take(Strike{1 << 40, "a"}, now.Add(strikeMemory))
+	s.Take(Strike{1 << 40, "a"}, now.Add(strikeLifetime))
 	if len(s.records) != 1 {
 		t.Errorf("%d requests are remembered after they have expired", len(s.records))
 	}
--- a/coord/suspicion/suspicion.go
+++ b/coord/suspicion/suspicion.go
@@ -1,14 +1,14 @@
 // Package suspicion finds the requests that crash the backend servers that run
-// them, without blaming their neighbours.
+// them, without blaming the other requests on the same servers.
 //
-// Every request that was at a server when it crashed becomes a suspect, by its
-// fingerprint. A suspect runs again only in a trial, alone on its server. One
-// that survives its trial is cleared; one whose server crashes again is
-// convicted and refused for a time. Trials are few at a time, because a server
-// on trial serves nobody else.
+// Every request that was on a server when it crashed becomes a suspect,
+// identified by its fingerprint. A suspect runs again only in a trial, alone on
+// its server. One that survives its trial is cleared; one whose server crashes
+// again is convicted and refused for a time. The number of concurrent trials is
+// limited, because a server on trial serves no other requests.
 //
 // Table is a pure state machine behind the replicated log, so that all entries
-// share one view and a resend through another entry gains nothing.
+// share one view and a retry through another entry does not evade it.
 package suspicion
 
 import (
@@ -17,47 +17,49 @@
 	"time"
 )
 
-// Limits bound a table. Every instance of one log must use the same.
+// Limits bounds a table. All instances of one log must use the same limits.
 type Limits struct {
-	// Trials is the most trials at once.
+	// Trials is the maximum number of concurrent trials.
 	Trials int
-	// TrialLease is how long a trial may last. An entry ends its trial
-	// before, by its own clock.
+	// TrialLease is the maximum duration of a trial. An entry ends its trial
+	// before that, by its own clock.
 	TrialLease time.Duration
-	// Suspect and Convicted are how long a request stays so.
+	// Suspect and Convicted are how long a request stays in that state.
 	Suspect   time.Duration
 	Convicted time.Duration
-	// Records is the most records; further suspects are not recorded.
+	// Records is the maximum number of records; further suspects are not
+	// recorded.
 	Records int
 }
 
-// DefaultLimits are the bounds of the control instances.
+// DefaultLimits are the limits of the control instances.
 var DefaultLimits = Limits{Trials: 2, TrialLease: time.Minute, Suspect: 10 * time.Minute, Convicted: time.Hour, Records: 10_000}
 
 // Fingerprint identifies a request by contract, adapter, version and body.
 type Fingerprint string
 
-// State is what is held against a request.
+// State is the state of a suspected request.
 type State string
 
 const (
-	// Suspect means that it was at a server that crashed.
+	// Suspect means that the request was on a server that crashed.
 	Suspect State = "suspect"
-	// OnTrial means that it runs alone.
+	// OnTrial means that the request runs alone.
 	OnTrial State = "on-trial"
-	// Convicted means that its server crashed while it ran alone.
+	// Convicted means that the server crashed while the request ran alone.
 	Convicted State = "convicted"
-	// Cleared means that it survived its trial.
+	// Cleared means that the request survived its trial.
 	Cleared State = "cleared"
 )
 
-// Record is what is known about one request.
+// Record is the state of one request.
 type Record struct {
 	Fingerprint Fingerprint `json:"fingerprint"`
 	State       State       `json:"state"`
-	// Crashes counts the crashes that the request was at.
+	// Crashes counts the crashes of servers that had the request.
 	Crashes int `json:"crashes"`
-	// Token names the trial, and Lease is its end in milliseconds since 1970.
+	// Token identifies the trial, and Lease is its end in milliseconds since
+	// 1970.
 	Token string `json:"token,omitempty"`
 	Lease int64  `json:"lease,omitempty"`
 	// Expires is in milliseconds since 1970, by the log's clock.
@@ -66,63 +68,64 @@
 	Revision uint64 `json:"revision"`
 }
 
-// Held reports whether the record still says anything against its request.
+// Held reports whether the record still restricts its request.
 func (r Record) Held(now time.Time) bool {
 	return r.State != Cleared && r.Expires > now.UnixMilli()
 }
 
-// Command is one input of the table. Exactly one of the pointers is set.
+// Command is one input to the table. Exactly one of the pointers is set.
 type Command struct {
 	Crash *Crash `json:"crash,omitempty"`
 	Ask   *Ask   `json:"ask,omitempty"`
 	End   *End   `json:"end,omitempty"`
 }
 
-// Crash reports the requests that were at a server when it crashed. A resent
-// report of one incarnation counts once.
+// Crash reports the requests that were on a server when it crashed. A repeated
+// report for the same incarnation counts once.
 type Crash struct {
 	Server string `json:"server"`
-	// Incarnation tells crashes of one server apart and grows from one to the
-	// next; a resent report has the same.
+	// Incarnation distinguishes the crashes of one server and increases from one
+	// to the next; a repeated report has the same incarnation.
 	Incarnation  uint64        `json:"incarnation"`
 	Fingerprints []Fingerprint `json:"fingerprints"`
 }
 
-// Ask asks whether a suspect may run now, under a trial named by the token.
+// Ask asks whether a suspect may run now, in a trial identified by the token.
 type Ask struct {
 	Fingerprint Fingerprint `json:"fingerprint"`
 	Token       string      `json:"token"`
 }
 
-// End ends the trial named by the token. Survived is true when the request ran
-// to its end; otherwise it did not run and stays a suspect.
+// End ends the trial identified by the token. Survived is true when the request
+// ran to completion; otherwise it did not run and remains a suspect.
 type End struct {
 	Fingerprint Fingerprint `json:"fingerprint"`
 	Token       string      `json:"token"`
 	Survived    bool        `json:"survived"`
 }
 
-// Verdict answers a command.
+// Verdict is the answer to a command.
 type Verdict string
 
 const (
-	// Run means that nothing is held against the request.
+	// Run means that the request may run without restriction.
 	Run Verdict = "run"
 	// RunAlone means that the trial was granted.
 	RunAlone Verdict = "run-alone"
-	// Wait means that too many trials run, or one of this request does.
+	// Wait means that too many trials are in progress, or one of this request.
 	Wait Verdict = "wait"
 	// Refuse means that the request is convicted.
 	Refuse Verdict = "refuse"
-	// Noted means that a Crash or End took effect.
+	// Noted means that a Crash or End was applied.
 	Noted Verdict = "noted"
 )
 
-// Table holds the records. One duty owns it.
+// Table holds the records. It is not safe for concurrent use: one goroutine
+// owns it.
 type Table struct {
 	limits  Limits
 	records map[Fingerprint]Record
-	// crashed is the last incarnation of each server whose crash counted.
+	// crashed is the last incarnation of each server whose crash was counted.
 	crashed map[string]uint64
 }
 
@@ -131,8 +134,8 @@
 	return &Table{limits: limits, records: make(map[Fingerprint]Record), crashed: make(map[string]uint64)}
 }
 
-// Apply executes a command at a log index and the log's clock. It returns the
-// records that changed.
+// Apply executes a command at a log index and at the time of the log's clock.
+// It returns the records that changed.
 func (t *Table) Apply(index uint64, command Command, clock time.Time) (Verdict, []Record) {
 	t.expire(clock)
 	switch {
@@ -162,8 +165,9 @@
 	return changed
 }
 
-// blame is the record of a request after a crash. Only a crash in a trial,
-// alone, convicts: two crashes among neighbours may have two other causes.
+// blame returns the record of a request after a crash. Only a crash in a trial,
+// where the request ran alone, convicts: two crashes with other requests on the
+// server may have two other causes.
 func (t *Table) blame(fingerprint Fingerprint, alone bool, clock time.Time) (Record, bool) {
 	r, known := t.records[fingerprint]
 	if !known && len(t.records) >= t.limits.Records {
@@ -229,8 +233,8 @@
 	return n
 }
 
-// expire forgets old records and ends trials whose entry died. Daemons judge
-// the expiry of a record by themselves.
+// expire removes expired records and ends trials whose entry crashed. Daemons
+// evaluate the expiry of a record themselves.
 func (t *Table) expire(clock time.Time) {
 	now := clock.UnixMilli()
 	for fingerprint, r := range t.records {
@@ -244,7 +248,7 @@
 	}
 }
 
-// Records returns every record in the order of the fingerprints.
+// Records returns all records, ordered by fingerprint.
 func (t *Table) Records() []Record {
 	all := make([]Record, 0, len(t.records))
 	for _, r := range t.records {
@@ -254,13 +258,13 @@
 	return all
 }
 
-// Incarnation is the last incarnation of a server whose crash counted.
+// Incarnation is the last incarnation of a server whose crash was counted.
 type Incarnation struct {
 	Server      string `json:"server"`
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// Crashed returns the last counted crash of each server, by name.
+// Crashed returns the last counted crash of each server, ordered by name.
 func (t *Table) Crashed() []Incarnation {
 	all := make([]Incarnation, 0, len(t.crashed))
 	for server, incarnation := range t.crashed {
@@ -270,7 +274,7 @@
 	return all
 }
 
-// Restore puts back what Records and Crashed returned into an empty table.
+// Restore loads the results of Records and Crashed into an empty table.
 func (t *Table) Restore(records []Record, crashed []Incarnation) {
 	for _, r := range records {
 		t.records[r.Fingerprint] = r
--- a/coord/suspicion/suspicion_test.go
+++ b/coord/suspicion/suspicion_test.go
@@ -13,14 +13,15 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fleet is a number of servers with requests on them; a killer crashes its
-// server, and every caller sends its request again until it is answered.
+// fleet simulates servers with requests running on them. A poison request
+// crashes its server, and every caller retries its request until it is
+// answered.
 type fleet struct {
 	random   *rand.Rand
 	table    *suspicion.Table
 	index    uint64
 	now      time.Time
-	killers  map[suspicion.Fingerprint]bool
+	poison   map[suspicion.Fingerprint]bool
 	onServer [][]suspicion.Fingerprint
 	alone    []bool
 	lost     int
@@ -31,14 +32,14 @@
 
 const servers = 18
 
-func newFleet(seed uint64, killers ...suspicion.Fingerprint) *fleet {
+func newFleet(seed uint64, poison ...suspicion.Fingerprint) *fleet {
 	f := &fleet{
 		random: rand.New(rand.NewPCG(seed, 1)), table: suspicion.NewTable(suspicion.DefaultLimits), now: start,
-		killers: map[suspicion.Fingerprint]bool{}, onServer: make([][]suspicion.Fingerprint, servers), alone: make([]bool, servers),
+		poison: map[suspicion.Fingerprint]bool{}, onServer: make([][]suspicion.Fingerprint, servers), alone: make([]bool, servers),
 		refused: map[suspicion.Fingerprint]int{}, answered: map[suspicion.Fingerprint]bool{}, tokens: map[suspicion.Fingerprint]string{},
 	}
-	for _, killer := range killers {
-		f.killers[killer] = true
+	for _, request := range poison {
+		f.poison[request] = true
 	}
 	return f
 }
@@ -49,7 +50,8 @@
 	return verdict
 }
 
-// send lets a caller send its request; isolated ignores suspicion when false.
+// send sends a request on behalf of its caller. The table is bypassed unless
+// isolated is set.
 func (f *fleet) send(request suspicion.Fingerprint, isolated bool) {
 	verdict := suspicion.Run
 	if isolated {
@@ -69,19 +71,20 @@
 	}
 }
 
-// inFlight reports whether the request's caller still waits for it.
+// inFlight reports whether the request is running on a server.
 func (f *fleet) inFlight(request suspicion.Fingerprint) bool {
 	return slices.ContainsFunc(f.onServer, func(running []suspicion.Fingerprint) bool {
 		return slices.Contains(running, request)
 	})
 }
 
-// finish ends what runs on a server: a crash if a killer is among it.
+// finish ends the requests that run on a server, with a crash if one of them is
+// a poison request.
 func (f *fleet) finish(server int) {
 	running, crash := f.onServer[server], false
 	f.onServer[server] = nil
 	for _, request := range running {
-		crash = crash || f.killers[request]
+		crash = crash || f.poison[request]
 	}
 	if crash {
 		f.lost++
@@ -100,8 +103,8 @@
 
 const steps = 4000
 
-// run sends and finishes at random; each caller waits for the end of its
-// request before it sends it again, and never gives up.
+// run sends and finishes requests at random. Each caller waits until its
+// request has ended before it retries it, and never gives up.
 func (f *fleet) run(isolated bool) {
 	for range steps {
 		f.now = f.now.Add(50 * time.Millisecond)
@@ -118,11 +121,12 @@
 	}
 }
 
-// One request crashes every server that runs it, and its caller sends it again
-// and again. Without suspicion it takes the whole fleet down in turn; with a
-// crude one its neighbours' callers are refused for what they did not do.
+// A request crashes every server that runs it, and its caller keeps retrying
+// it. Without suspicion it crashes the whole fleet server by server; with
+// suspicion that is too coarse, innocent requests on the same servers are
+// refused.
 func TestAKillerTakesAtMostTwoServersAndNobodyElseIsRefused(t *testing.T) {
-	naive := 0
+	unprotected := 0
 	for seed := range uint64(50) {
 		f := newFleet(seed, "killer")
 		f.run(true)
@@ -130,23 +134,23 @@
 			t.Errorf("seed %d: %d servers lost", seed, f.lost)
 		}
 		if f.refused["killer"] == 0 {
-			t.Errorf("seed %d: the killer was never refused", seed)
+			t.Errorf("seed %d: the poison request was never refused", seed)
 		}
 		for request, n := range f.refused {
 			if request != "killer" {
-				t.Errorf("seed %d: innocent %s was refused %d times", seed, request, n)
+				t.Errorf("seed %d: innocent request %s was refused %d times", seed, request, n)
 			}
 		}
 		n := newFleet(seed, "killer")
 		n.run(false)
-		naive += n.lost
+		unprotected += n.lost
 	}
-	t.Logf("50 schedules: at most 2 servers lost in each, 0 innocents refused; without suspicion %d lost in each on average", naive/50)
+	t.Logf("50 schedules: at most 2 servers lost in each, no innocent request refused; without suspicion %d lost in each on average", unprotected/50)
 }
 
 // Two servers crash for other reasons while the same innocent request is on
-// both. Two crashes alone must not convict it.
-func TestTwoCrashesAmongNeighboursConvictNobody(t *testing.T) {
+// both. Crashes of servers with several requests must not convict it.
+func TestTwoSharedCrashesDoNotConvict(t *testing.T) {
 	table := suspicion.NewTable(suspicion.DefaultLimits)
 	for i := range uint64(2) {
 		crash := suspicion.Crash{Server: "s", Incarnation: i + 1, Fingerprints: []suspicion.Fingerprint{"innocent", suspicion.Fingerprint(fmt.Sprint(i))}}
@@ -155,16 +159,16 @@
 	}
 	ask := suspicion.Command{Ask: &suspicion.Ask{Fingerprint: "innocent", Token: "1"}}
 	if got, _ := table.Apply(3, ask, start); got != suspicion.RunAlone {
-		t.Errorf("the innocent request: %s", got)
+		t.Errorf("the innocent request got the verdict %s, want a trial", got)
 	}
 	if got := table.Records()[2]; got.Crashes != 2 {
-		t.Errorf("a resent report counted: %+v", got)
+		t.Errorf("a repeated report was counted: %+v", got)
 	}
 }
 
-// An entry dies in the middle of a trial. The trial must end by itself, or no
-// suspect is ever tried again.
-func TestATrialEndsWithItsLease(t *testing.T) {
+// An entry crashes during a trial. The trial must expire, or no suspect is ever
+// tried again.
+func TestTrialEndsWithItsLease(t *testing.T) {
 	limits := suspicion.DefaultLimits
 	limits.Trials = 1
 	table := suspicion.NewTable(limits)
@@ -190,6 +194,6 @@
 	restored := suspicion.NewTable(limits)
 	restored.Restore(table.Records(), table.Crashed())
 	if !reflect.DeepEqual(restored, table) {
-		t.Error("a restored table differs")
+		t.Error("the restored table differs from the original")
 	}
 }
