--- a/coord/prefixcache/bench_test.go
+++ b/coord/prefixcache/bench_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// BenchmarkExpected asks of a server that holds the longest chain whole.
+// BenchmarkExpected queries a server that holds the whole of the longest chain.
 func BenchmarkExpected(b *testing.B) {
 	index := NewIndex(Options{})
 	chain := Chain(catalogue.Ref{Adapter: "a"}, bytes.Repeat([]byte("x"), MaxBlocks*BlockBytes))
@@ -30,7 +30,8 @@
 	}
 }
 
-// BenchmarkMemory reports the live heap of an index at its bound, before 600 servers.
+// BenchmarkMemory reports the live heap of an index that is full, with 600
+// servers.
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
 		before := liveheap.Bytes()
--- a/coord/prefixcache/chain.go
+++ b/coord/prefixcache/chain.go
@@ -1,9 +1,10 @@
-// Package prefixcache estimates which servers hold how long a prefix of a
-// prompt in their engine's prefix cache.
+// Package prefixcache estimates how long a prefix of a prompt each server holds
+// in its engine's prefix cache.
 //
-// An Index learns from the viewer's own dispatches at once and from engines'
-// cache events when they come. It has no clock: age is counted in own
-// dispatches to the server, as it is requests that push blocks out of a cache.
+// An Index learns from the viewer's own dispatches immediately and from the
+// engines' cache events when they arrive. It uses no clock: age is counted in
+// the viewer's own dispatches to the server, because requests are what evicts
+// blocks from a cache.
 package prefixcache
 
 import (
@@ -15,17 +16,19 @@
 )
 
 const (
-	// BlockBytes is the length of a block of the prompt.
+	// BlockBytes is the length of a prompt block.
 	BlockBytes = 256
-	// MaxBlocks bounds the blocks of a prompt that are hashed.
+	// MaxBlocks is the maximum number of blocks of a prompt that are hashed.
 	MaxBlocks = 64
 )
 
-// Block names a block of a prompt together with all before it and the adapter.
+// Block identifies a prompt block together with all preceding blocks and the
+// adapter.
 type Block uint64
 
-// Chain names the whole blocks of a prompt, first to last; a rest shorter than
-// a block has no name, as engines cache whole blocks only.
+// Chain returns the identifiers of the complete blocks of a prompt, in order. A
+// remainder shorter than a block has none, because engines cache complete
+// blocks only.
 func Chain(ref catalogue.Ref, prompt []byte) []Block {
 	n := min(len(prompt)/BlockBytes, MaxBlocks)
 	if n == 0 {
@@ -41,8 +44,8 @@
 	return chain
 }
 
-// seed hashes the adapter, its length first, so that no other split of the
-// same bytes into name and version gives the same hash.
+// seed hashes the adapter, starting with the length of its name, so that no
+// other split of the same bytes into name and version gives the same hash.
 func seed(digest *xxhash.Digest, ref catalogue.Ref) uint64 {
 	digest.Reset()
 	var length [8]byte
--- a/coord/prefixcache/index.go
+++ b/coord/prefixcache/index.go
@@ -2,20 +2,21 @@
 
 import "container/list"
 
-// Options bound an Index. Zero values take the defaults.
+// Options bounds an Index. Zero values select the defaults.
 type Options struct {
-	// Blocks is the most blocks remembered of one server; the least recently
-	// learnt goes first.
+	// Blocks is the maximum number of blocks remembered per server; the least
+	// recently learnt block is evicted first.
 	Blocks int
-	// Total is the most blocks remembered of all servers together, divided
-	// evenly among them. Without it an entry before 600 servers would come to
-	// hold hundreds of megabytes.
+	// Total is the maximum number of blocks remembered for all servers together,
+	// divided evenly among them. Without it, an entry with 600 servers would use
+	// hundreds of megabytes.
 	Total int
-	// Lifetime is how many own dispatches to the server a block is trusted for
-	// after it was last learnt.
+	// Lifetime is for how many of the viewer's own dispatches to the server a
+	// block is trusted after it was last learnt.
 	Lifetime uint64
-	// DoubtLifetime is the same, but counted from a gap in the server's events
-	// or its engine's restart, for blocks learnt before it.
+	// DoubtLifetime is the same limit for blocks learnt before a gap in the
+	// server's events or a restart of its engine, counted from that gap or
+	// restart.
 	DoubtLifetime uint64
 }
 
@@ -29,20 +30,20 @@
 // Event is one report of an engine's prefix cache.
 type Event struct {
 	Server string
-	// Epoch grows with each start of the engine; Sequence by one with each
+	// Epoch increases with each start of the engine, Sequence by one with each
 	// event of an epoch.
 	Epoch, Sequence uint64
 	Stored, Removed []Block
 }
 
-// Index is what one viewer believes of the engines' caches. One duty owns it,
-// or a lock guards it.
+// Index is one viewer's estimate of the contents of the engines' caches. It is
+// not safe for concurrent use: one goroutine owns it, or a lock guards it.
 type Index struct {
 	options Options
 	servers map[string]*cache
 }
 
-// NewIndex returns an index that knows nothing.
+// NewIndex returns an empty index.
 func NewIndex(options Options) *Index {
 	setDefault(&options.Blocks, defaultBlocks)
 	setDefault(&options.Total, defaultTotal)
@@ -63,24 +64,25 @@
 	if !known {
 		c = newCache()
 		x.servers[server] = c
-		x.share()
+		x.trimAll()
 	}
 	c.dispatches++
 	c.learn(chain, x.options.Lifetime, x.limit())
 	c.expire()
 }
 
-// limit is the most blocks of one server.
+// limit returns the maximum number of blocks per server.
 func (x *Index) limit() int { return min(x.options.Blocks, x.options.Total/len(x.servers)) }
 
-// share cuts every server to its part of the total, which a new server lowers.
-func (x *Index) share() {
+// trimAll trims every server to its share of the total, which shrinks with each
+// new server.
+func (x *Index) trimAll() {
 	for _, c := range x.servers {
 		c.trim(x.limit())
 	}
 }
 
-// Len is how many blocks are remembered of all servers.
+// Len returns the number of blocks remembered for all servers.
 func (x *Index) Len() int {
 	total := 0
 	for _, c := range x.servers {
@@ -89,8 +91,8 @@
 	return total
 }
 
-// Apply takes an engine's event. Events of servers that nothing was sent to
-// are dropped, so that what others send cannot fill the memory.
+// Apply applies an engine's event. Events of servers without dispatches are
+// dropped, so that other senders' events cannot fill the memory.
 func (x *Index) Apply(e Event) {
 	c, known := x.servers[e.Server]
 	if !known || c.heard && e.Epoch < c.epoch {
@@ -98,19 +100,20 @@
 	}
 	late := c.heard && e.Epoch == c.epoch && e.Sequence < c.next
 	if !late {
-		c.follow(e, x.options.DoubtLifetime)
-		// What a late event stored may have been removed by one that is
-		// already applied; a removal only lowers the estimate.
+		c.checkOrder(e, x.options.DoubtLifetime)
+		// Blocks stored by a late event may have been removed by an event that is
+		// already applied; a late removal only lowers the estimate.
 		c.learn(e.Stored, x.options.Lifetime, x.limit())
 	}
 	c.remove(e.Removed)
 }
 
-// Forget drops what is known of a server that left.
+// Forget removes a server that left.
 func (x *Index) Forget(server string) { delete(x.servers, server) }
 
-// Expected is how many blocks from the start of the chain the server is
-// expected to hold. A doubtful block counts less with each dispatch.
+// Expected returns the expected number of blocks, from the start of the chain,
+// that the server holds. The weight of a doubtful block decreases with each
+// dispatch.
 func (x *Index) Expected(server string, chain []Block) float64 {
 	c, known := x.servers[server]
 	if !known {
@@ -127,20 +130,20 @@
 	return total
 }
 
-// cache is what is believed of one server's cache.
+// cache is the estimated content of one server's cache.
 type cache struct {
 	dispatches uint64
 	heard      bool
 	epoch      uint64
 	next       uint64
-	// recent holds *entry, the latest learnt first.
+	// recent holds *entry, the most recently learnt first.
 	recent *list.List
 	held   map[Block]*list.Element
 }
 
 type entry struct {
 	block Block
-	// expires is the count of dispatches from which the block isn't trusted.
+	// expires is the dispatch count from which the block is no longer trusted.
 	expires  uint64
 	doubtful bool
 }
@@ -149,8 +152,8 @@
 	return &cache{recent: list.New(), held: make(map[Block]*list.Element)}
 }
 
-// learn takes the last block first: what is forgotten first is then the end of
-// a prefix and not its start, without which the rest is worth nothing.
+// learn starts with the last block, so that the end of a prefix is evicted
+// before its start, without which the other blocks are useless.
 func (c *cache) learn(chain []Block, lifetime uint64, limit int) {
 	for i := len(chain) - 1; i >= 0; i-- {
 		fresh := entry{block: chain[i], expires: c.dispatches + lifetime}
@@ -164,7 +167,7 @@
 	c.trim(limit)
 }
 
-// trim drops what was learnt longest ago beyond a number of blocks.
+// trim evicts the least recently learnt blocks beyond the limit.
 func (c *cache) trim(limit int) {
 	for c.recent.Len() > limit {
 		c.drop(c.recent.Back())
@@ -184,19 +187,20 @@
 	c.recent.Remove(element)
 }
 
-// follow notes the event's place in the order. After a gap or a restart the
-// cache may have lost any block without a word. One would notice prompts sent
-// to a server for a prefix that it computes again; doubt bounds for how long.
-func (c *cache) follow(e Event, lifetime uint64) {
+// checkOrder checks that the event is the next in order. After a gap or a
+// restart the cache may have lost any block without an event. Prompts would
+// then be sent to a server for a prefix that it has to compute again; the
+// shorter lifetime of doubtful blocks bounds for how long.
+func (c *cache) checkOrder(e Event, lifetime uint64) {
 	if c.heard && (e.Epoch != c.epoch || e.Sequence != c.next) {
 		c.doubt(lifetime)
 	}
 	c.heard, c.epoch, c.next = true, e.Epoch, e.Sequence+1
 }
 
-// doubt goes from the latest learnt back to the first that an earlier doubt
-// reached: all behind it is doubtful already, and a second doubt gives no
-// block a longer life.
+// doubt marks blocks as doubtful, from the most recently learnt back to the
+// first one that is doubtful already: all blocks after that one are doubtful
+// too, and a second doubt does not extend their lifetime.
 func (c *cache) doubt(lifetime uint64) {
 	for element := c.recent.Front(); element != nil; element = element.Next() {
 		known := element.Value.(*entry)
@@ -208,8 +212,8 @@
 	}
 }
 
-// expire drops blocks from the back while their trust has ended; others are
-// dropped by the bound on blocks.
+// expire removes expired blocks from the back of the list; the others are
+// evicted by the limit on the number of blocks.
 func (c *cache) expire() {
 	for back := c.recent.Back(); back != nil && back.Value.(*entry).expires <= c.dispatches; back = c.recent.Back() {
 		c.drop(back)
--- a/coord/prefixcache/index_test.go
+++ b/coord/prefixcache/index_test.go
@@ -26,12 +26,12 @@
 		shared int
 	}{
 		{"same", ref, prompt, 3},
-		{"another rest", ref, prompt[:3*BlockBytes+1], 3},
+		{"other remainder", ref, prompt[:3*BlockBytes+1], 3},
 		{"shorter", ref, prompt[:2*BlockBytes], 2},
 		{"changed in the second block", ref, changed, 1},
 		{"another version", catalogue.Ref{Adapter: "a", Version: "2"}, prompt, 0},
-		{"the same letters split elsewhere", catalogue.Ref{Adapter: "a1"}, prompt, 0},
-		{"less than a block", ref, prompt[:BlockBytes-1], 0},
+		{"same bytes split differently", catalogue.Ref{Adapter: "a1"}, prompt, 0},
+		{"shorter than a block", ref, prompt[:BlockBytes-1], 0},
 	} {
 		shared := 0
 		for i, block := range Chain(c.ref, c.prompt) {
@@ -44,88 +44,89 @@
 		}
 	}
 	if n := len(Chain(ref, bytes.Repeat(prompt, MaxBlocks))); n != MaxBlocks {
-		t.Errorf("%d blocks of a long prompt", n)
+		t.Errorf("a long prompt has %d blocks, want the maximum", n)
 	}
 }
 
 var small = Options{Blocks: 12, Lifetime: 10, DoubtLifetime: 4}
 
-// fact is what the naive version knows of one block.
+// fact is what reference knows of one block.
 type fact struct{ learnt, order, doubted int }
 
-// naive keeps facts and works out everything else when asked.
-type naive struct {
+// reference is a simple model of Index for one server. It keeps the facts about
+// each block and derives everything else on demand.
+type reference struct {
 	facts       map[Block]*fact
 	now, orders int
 	heard       bool
 	epoch, next uint64
 }
 
-func (n *naive) learn(chain []Block) {
+func (r *reference) learn(chain []Block) {
 	for _, block := range slices.Backward(chain) {
-		n.orders++
-		n.facts[block] = &fact{learnt: n.now, order: n.orders, doubted: -1}
-		if len(n.facts) > small.Blocks {
+		r.orders++
+		r.facts[block] = &fact{learnt: r.now, order: r.orders, doubted: -1}
+		if len(r.facts) > small.Blocks {
 			oldest := block
-			for other, f := range n.facts {
-				if f.order < n.facts[oldest].order {
+			for other, f := range r.facts {
+				if f.order < r.facts[oldest].order {
 					oldest = other
 				}
 			}
-			delete(n.facts, oldest)
+			delete(r.facts, oldest)
 		}
 	}
 }
 
-func (n *naive) dispatched(chain []Block) {
-	n.now++
-	n.learn(chain)
-	for block := range n.facts {
-		if n.left(block) <= 0 {
-			delete(n.facts, block)
+func (r *reference) dispatched(chain []Block) {
+	r.now++
+	r.learn(chain)
+	for block := range r.facts {
+		if r.remaining(block) <= 0 {
+			delete(r.facts, block)
 		}
 	}
 }
 
-func (n *naive) apply(e Event) {
-	if n.now == 0 || n.heard && e.Epoch < n.epoch {
+func (r *reference) apply(e Event) {
+	if r.now == 0 || r.heard && e.Epoch < r.epoch {
 		return
 	}
-	if !n.heard || e.Epoch > n.epoch || e.Sequence >= n.next {
-		broken := n.heard && (e.Epoch != n.epoch || e.Sequence != n.next)
-		for _, f := range n.facts {
+	if !r.heard || e.Epoch > r.epoch || e.Sequence >= r.next {
+		broken := r.heard && (e.Epoch != r.epoch || e.Sequence != r.next)
+		for _, f := range r.facts {
 			if broken && f.doubted < 0 {
-				f.doubted = n.now
+				f.doubted = r.now
 			}
 		}
-		n.heard, n.epoch, n.next = true, e.Epoch, e.Sequence+1
-		n.learn(e.Stored)
+		r.heard, r.epoch, r.next = true, e.Epoch, e.Sequence+1
+		r.learn(e.Stored)
 	}
 	for _, block := range e.Removed {
-		delete(n.facts, block)
+		delete(r.facts, block)
 	}
 }
 
-func (n *naive) left(block Block) int {
-	f, known := n.facts[block]
+func (r *reference) remaining(block Block) int {
+	f, known := r.facts[block]
 	if !known {
 		return 0
 	}
-	left := f.learnt + int(small.Lifetime) - n.now
+	left := f.learnt + int(small.Lifetime) - r.now
 	if f.doubted >= 0 {
-		left = min(left, f.doubted+int(small.DoubtLifetime)-n.now)
+		left = min(left, f.doubted+int(small.DoubtLifetime)-r.now)
 	}
 	return left
 }
 
-func (n *naive) expected(chain []Block) float64 {
+func (r *reference) expected(chain []Block) float64 {
 	total, trust := 0.0, 1.0
 	for _, block := range chain {
-		left := n.left(block)
+		left := r.remaining(block)
 		if left <= 0 {
 			break
 		}
-		if n.facts[block].doubted >= 0 {
+		if r.facts[block].doubted >= 0 {
 			trust = min(trust, float64(left)/float64(small.DoubtLifetime))
 		}
 		total += trust
@@ -144,9 +145,9 @@
 	return blocks
 }
 
-func TestIndexIsTheNaiveMap(t *testing.T) {
+func TestIndexMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		index, model := NewIndex(small), &naive{facts: make(map[Block]*fact)}
+		index, model := NewIndex(small), &reference{facts: make(map[Block]*fact)}
 		t.Repeat(map[string]func(*rapid.T){
 			"dispatch": func(t *rapid.T) {
 				chain := drawChain(t, "chain")
@@ -165,7 +166,7 @@
 			"": func(t *rapid.T) {
 				chain := drawChain(t, "asked")
 				if got, want := index.Expected("s", chain), model.expected(chain); got != want {
-					t.Fatalf("%v blocks of %v, want %v", got, chain, want)
+					t.Fatalf("expected %v blocks of chain %v, want %v", got, chain, want)
 				}
 				if c := index.servers["s"]; c != nil && (len(c.held) > small.Blocks || c.recent.Len() != len(c.held)) {
 					t.Fatalf("%d blocks held, %d in order", len(c.held), c.recent.Len())
@@ -175,17 +176,17 @@
 	})
 }
 
-// An engine drops blocks while its events are lost or overtake each other.
-// Callers would be sent to it for a prefix that it has to compute again. The
-// index may believe so for Lifetime dispatches after it last had cause to, and
-// for DoubtLifetime dispatches after an event that shows the loss.
-func TestLostEventsMisleadForABoundedNumberOfDispatches(t *testing.T) {
+// An engine evicts blocks while its events are lost or reordered. Requests
+// would be sent to it for a prefix that it has to compute again. The index may
+// trust such a block for Lifetime dispatches after it was last learnt, and for
+// DoubtLifetime dispatches after an event that reveals the loss.
+func TestLostEventsExpireAfterBoundedDispatches(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		index := NewIndex(small)
 		const block = Block(100)
 		index.Dispatched("s", []Block{block})
 		index.Apply(Event{Server: "s", Sequence: 0})
-		// Event 1, the removal, is lost; later ones come in any order.
+		// Event 1, the removal, is lost; later events arrive in any order.
 		order := rapid.Permutation([]uint64{2, 3, 4, 5, 6}).Draw(t, "order")
 		shownAt := rapid.IntRange(0, 2*int(small.Lifetime)).Draw(t, "shown after")
 		bound := min(int(small.Lifetime), shownAt+int(small.DoubtLifetime))
@@ -204,21 +205,22 @@
 	})
 }
 
-// Blocks of a server that left, and events of one that nothing was sent to,
-// would stay in memory for good.
-func TestIndexKeepsNothingOfServersItDoesNotUse(t *testing.T) {
+// Blocks of a server that left, and events of a server without dispatches,
+// would otherwise stay in memory forever.
+func TestIndexDropsUnusedServers(t *testing.T) {
 	index := NewIndex(small)
 	index.Apply(Event{Server: "stranger", Stored: []Block{1}})
 	index.Dispatched("gone", []Block{1})
 	index.Forget("gone")
 	if len(index.servers) != 0 {
-		t.Errorf("%d servers remembered", len(index.servers))
+		t.Errorf("%d servers are remembered, want none", len(index.servers))
 	}
 }
 
-// An entry sends work to hundreds of servers for days. Were each remembered by
-// its own bound alone, the entry would grow until the platform ends it.
-func TestTheTotalHoldsWhateverServersJoin(t *testing.T) {
+// An entry sends requests to hundreds of servers for days. If only the number
+// of blocks per server were bounded, the entry would grow until the platform
+// terminates it.
+func TestTotalBoundsAllServers(t *testing.T) {
 	index := NewIndex(Options{Blocks: 100, Total: 1000})
 	next := Block(0)
 	for server := range 64 {
