--- a/coord/rendezvous/rendezvous.go
+++ b/coord/rendezvous/rendezvous.go
@@ -1,10 +1,12 @@
-// Package rendezvous orders choices for a key so that all who know the same
-// choices order them alike, and the loss of one moves only its own keys.
+// Package rendezvous implements rendezvous (highest random weight) hashing: all
+// processes that know the same choices order them equally for a key, and the
+// loss of a choice moves only the keys assigned to it.
 package rendezvous
 
 import "github.com/cespare/xxhash/v2"
 
-// Weight is a number for a key and a choice that is the same everywhere.
+// Weight returns the weight of a choice for a key. It is the same in every
+// process.
 func Weight(key, choice string) uint64 {
 	var h xxhash.Digest
 	h.Reset()
--- a/coord/rendezvous/rendezvous_test.go
+++ b/coord/rendezvous/rendezvous_test.go
@@ -15,16 +15,16 @@
 	return found
 }
 
-// A server is lost. Adapters of others must keep their homes, or every engine
-// would have to load anew.
-func TestALossMovesOnlyItsOwnKeys(t *testing.T) {
+// A server is lost. Adapters assigned to other servers must not move, or every
+// engine would have to load adapters again.
+func TestLossMovesOnlyOwnKeys(t *testing.T) {
 	choices := []string{"a", "b", "c", "d"}
-	left := choices[:3]
+	remaining := choices[:3]
 	count := make(map[string]int)
 	const keys = 4000
 	for i := range keys {
 		key := fmt.Sprint("adapter", i)
-		before, after := best(key, choices), best(key, left)
+		before, after := best(key, choices), best(key, remaining)
 		count[before]++
 		if before != "d" && after != before {
 			t.Fatalf("%s moved from %s to %s with the loss of d", key, before, after)
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestTheBorderBetweenKeyAndChoiceCounts(t *testing.T) {
+func TestWeightSeparatesKeyAndChoice(t *testing.T) {
 	if Weight("ab", "c") == Weight("a", "bc") {
 		t.Error("different pairs have the same weight")
 	}
