--- a/coord/dispatch/dispatch.go
+++ b/coord/dispatch/dispatch.go
@@ -80,7 +80,7 @@
 	Tried map[string]bool
 }
 
-// Costs, in shares of what an answer loses by being late.
+// Costs are relative to the cost of a late answer, which is 1.
 const (
 	// loadCost is the cost of a load from the store on any engine. homeCost is
 	// the cost on the first engines of the adapter's rendezvous order: they have
--- a/coord/residency/residency.go
+++ b/coord/residency/residency.go
@@ -4,9 +4,9 @@
 // more adapters than it has capacity for. The engine's own report is the source
 // of truth for the table.
 //
-// Table is a pure state machine: events go in with the time, actions come out.
-// It never unloads an adapter that a request uses or waits for, and never
-// orders more adapters than the engine has capacity for.
+// Table is a pure state machine: it takes events with their time and returns
+// actions. It never unloads an adapter that a request uses or waits for, and
+// never orders more adapters than the engine has capacity for.
 package residency
 
 import (
@@ -33,7 +33,7 @@
 	Grace time.Duration
 }
 
-// Request asks to start a request on the engine.
+// Request is a request to be started on the engine.
 type Request struct {
 	ID string
 	// Adapter is model/adapter; empty when only the base model is requested.
@@ -88,7 +88,7 @@
 func (Load) action()   {}
 func (Unload) action() {}
 
-// Reason says why a request was not started.
+// Reason is the reason why a request was not started.
 type Reason string
 
 const (
