--- a/coord/freshness/freshness.go
+++ b/coord/freshness/freshness.go
@@ -1,21 +1,22 @@
-// Package freshness decides whether a daemon's copy of the configuration may
-// still be relied on.
+// Package freshness decides whether a daemon's copy of the configuration is
+// recent enough to admit requests under it.
 //
-// A change that was accepted at time T must be in force everywhere a bounded
-// time later. A daemon that is cut off cannot learn of it, so it needs a proof
-// that nothing newer was accepted, and the proof must be young. A proof names a
-// moment: every change that was accepted before it is in the daemon's copy. A
-// daemon that admits only while its proof is younger than Lease never admits
-// under a contract that was superseded more than Lease ago.
+// A change that is accepted at time T must take effect everywhere within a
+// bounded time. A partitioned daemon cannot learn of the change, so it needs a
+// recent proof that nothing newer was accepted. A proof carries a timestamp:
+// every change accepted before it is in the daemon's copy. A daemon that admits
+// only while its proof is younger than Lease never admits under a contract that
+// was superseded more than Lease ago.
 //
-// A control instance gives a proof when a quorum confirms its log. Without one,
-// the daemon asks all control instances for the ends of their logs: an accepted
-// change lies on a majority of them, so it is seen in the answers of any
-// majority. When too few answer, it counts those whose machine refuses the
-// connection: no control instance runs there. When the others are no majority,
-// nothing can be accepted. The silent ones count as running and able to accept.
+// A control instance supplies a proof when a quorum confirms its log. Without a
+// quorum, the daemon asks all control instances for the last index of their
+// logs: an accepted change is stored on a majority of them, so the answers of
+// any majority show it. When fewer than a majority answer, the daemon counts the
+// addresses that refuse the connection, because no control instance runs there.
+// If the remaining instances are not a majority, no change can be accepted.
+// Instances that neither answer nor refuse count as running and able to accept.
 //
-// All times are the daemon's own clock, taken when it sent the question.
+// All times are read from the daemon's own clock when it sends the question.
 package freshness
 
 import (
@@ -24,29 +25,30 @@
 	"time"
 )
 
-// DefaultLease is how old a proof may be before the daemon stops admitting.
+// DefaultLease is the age of a proof above which the daemon stops admitting.
 const DefaultLease = 3 * time.Second
 
-// Kind says what a daemon knows about its copy.
+// Kind classifies what a daemon knows about its copy.
 type Kind string
 
 const (
 	// Fresh means that every change accepted before AsOf is in the copy.
 	Fresh Kind = "fresh"
-	// Unchangeable means that the copy could not be confirmed, but that too
-	// few control instances run to accept a change.
+	// Unchangeable means that the copy could not be confirmed, but that fewer
+	// control instances run than a quorum, so that no change can be accepted.
 	Unchangeable Kind = "unchangeable"
-	// CutOff means that a change may have been accepted without the daemon.
+	// CutOff means that a change may have been accepted that the daemon has not
+	// received.
 	CutOff Kind = "cut-off"
 )
 
-// State is what a daemon knows at one moment, with its reason.
+// State is what a daemon knows about its copy at one time, and why.
 type State struct {
 	Kind Kind `json:"kind"`
-	// AsOf is the moment of the last proof; zero when there was none.
+	// AsOf is the timestamp of the last proof; zero if there is none.
 	AsOf time.Time `json:"asOf"`
-	// HaltedAt is when too few control instances to elect a leader were last
-	// seen, if Kind is Unchangeable.
+	// HaltedAt is when the daemon last saw too few control instances running
+	// to elect a leader. It is set if Kind is Unchangeable.
 	HaltedAt time.Time `json:"haltedAt,omitzero"`
 	Reason   string    `json:"reason"`
 }
@@ -55,59 +57,63 @@
 // State admits nothing.
 func (s State) MayAdmit() bool { return s.Kind == Fresh || s.Kind == Unchangeable }
 
-// Standing is what a control instance says of itself.
+// Standing is the status that a control instance reports about its log.
 type Standing struct {
-	// Term, LastIndex and Applied describe its log: the highest term, the
-	// last entry, accepted or not, and the last entry in its state.
+	// Term is the highest term in the log, LastIndex the index of the last
+	// entry, committed or not, and Applied the index of the last entry applied
+	// to the instance's state.
 	Term      uint64 `json:"term"`
 	LastIndex uint64 `json:"lastIndex"`
 	Applied   uint64 `json:"applied"`
-	// ConfigIndex is the last entry in its state that daemons follow.
+	// ConfigIndex is the index of the last applied entry that daemons follow.
 	ConfigIndex uint64 `json:"configIndex"`
-	// Leader names the leader that it knows, empty for none.
+	// Leader is the name of the leader known to the instance; empty if none.
 	Leader string `json:"leader,omitempty"`
-	// Confirmed means that a quorum confirmed, ConfirmedAge before the
-	// question arrived, that every entry accepted until then is in its
-	// state. The age is negative when that was after the arrival, as it can
-	// be when an answer waits for news.
+	// Confirmed means that, ConfirmedAge before the question arrived, a quorum
+	// confirmed that every entry accepted by then is applied to the instance's
+	// state. The age is negative if the confirmation came after the question,
+	// which happens when the answer is held until there is a change.
 	Confirmed    bool          `json:"confirmed"`
 	ConfirmedAge time.Duration `json:"confirmedAge,omitempty"`
-	// ConfirmedIndex is the last entry then that daemons follow. Later ones
-	// need not be in a daemon's copy for the proof to hold.
+	// ConfirmedIndex is the index of the last entry that daemons follow at the
+	// time of the confirmation. The proof is valid for a copy without later
+	// entries.
 	ConfirmedIndex uint64 `json:"confirmedIndex,omitempty"`
-	// Voter means that it votes itself: its log is part of a quorum. An
-	// instance that lost its disk and waits to be let in again is none, and
-	// nor is a learner.
+	// Voter reports whether the instance votes, so that its log counts towards
+	// a quorum. Learners do not vote, nor does an instance that lost its disk
+	// and has not been readmitted.
 	Voter bool `json:"voter,omitempty"`
-	// Voters are the addresses of the voters by the last membership in its
-	// log, accepted or not; empty when it knows none.
+	// Voters are the addresses of the voters according to the last membership
+	// in the instance's log, committed or not; empty if it knows none.
 	Voters []string `json:"voters,omitempty"`
 }
 
-// Options configure a tracker.
+// Options configures a Tracker.
 type Options struct {
-	// Lease is how old a proof may be.
+	// Lease is the maximum age of a proof.
 	Lease time.Duration
 }
 
-// Tracker follows what a daemon can prove. It is not safe for concurrent use.
+// Tracker records the proofs that a daemon has for its copy. It is not safe for
+// concurrent use.
 type Tracker struct {
 	options Options
 	index   uint64
-	// proven is the moment of the youngest proof.
-	proven time.Time
-	// halted is the last moment at which too few instances ran.
-	halted time.Time
-	// voters are those of the last confirmed answer.
+	// provenAt is the timestamp of the most recent proof.
+	provenAt time.Time
+	// haltedAt is when too few instances for a quorum were last seen running.
+	haltedAt time.Time
+	// voters are the voters listed in the last confirmed answer.
 	voters []string
-	// reason is from the followed instance. probeReason is from the last
-	// round since the last proof and says more; empty without one.
+	// reason comes from the followed instance. probeReason comes from the last
+	// round since the last proof and is more specific; empty if there was no
+	// such round.
 	reason      string
 	probeReason string
 	haltReason  string
 }
 
-// NewTracker returns a tracker without any proof.
+// NewTracker returns a Tracker without a proof.
 func NewTracker(options Options) *Tracker {
 	if options.Lease == 0 {
 		options.Lease = DefaultLease
@@ -115,12 +121,12 @@
 	return &Tracker{options: options, reason: "no control instance has answered yet"}
 }
 
-// Advance tells the index that the daemon's copy stands at.
+// Advance raises the index of the daemon's copy to index.
 func (t *Tracker) Advance(index uint64) { t.index = max(t.index, index) }
 
-// Answer takes in the standing that one control instance gave to a question
-// sent at the given time. It counts as a proof only when the instance was
-// confirmed by a quorum and the copy has reached its state.
+// Answer records the standing that one control instance returned to a question
+// sent at the given time. It counts as a proof only if a quorum confirmed the
+// instance and the copy has reached the confirmed index.
 func (t *Tracker) Answer(standing Standing, sent time.Time) {
 	if standing.Confirmed {
 		t.voters = standing.Voters
@@ -131,54 +137,54 @@
 	case t.index < standing.ConfirmedIndex:
 		t.reason = "the copy is behind the control instance"
 	default:
-		t.prove(sent.Add(-standing.ConfirmedAge))
+		t.recordProof(sent.Add(-standing.ConfirmedAge))
 	}
 }
 
-func (t *Tracker) prove(moment time.Time) {
-	if moment.After(t.proven) {
-		t.proven, t.probeReason = moment, ""
+func (t *Tracker) recordProof(at time.Time) {
+	if at.After(t.provenAt) {
+		t.provenAt, t.probeReason = at, ""
 	}
 }
 
-// Answer is the standing of the instance at an address.
+// Answer is the standing of the control instance at an address.
 type Answer struct {
 	Address string
 	Standing
 }
 
-// Round is the outcome of asking every control instance at about the same time.
+// Round is the result of asking every control instance at about the same time.
 type Round struct {
 	// Sent is when the first question was sent.
 	Sent time.Time
 	// Answers are the standings of the instances that answered.
 	Answers []Answer
-	// Refused are the addresses whose machine refused the connection: no
-	// control instance runs there. Silence is not a refusal.
+	// Refused are the addresses that refused the connection, where no control
+	// instance runs. A timeout is not a refusal.
 	Refused []string
 }
 
-// Probe takes in a round.
+// Probe records the result of a round.
 func (t *Tracker) Probe(round Round) {
 	for _, answer := range round.Answers {
 		t.Answer(answer.Standing, round.Sent)
 	}
 	voting := slices.DeleteFunc(slices.Clone(round.Answers), func(a Answer) bool { return !a.Voter })
 	switch {
-	case isMajority(voting) && t.wholeIn(voting):
-		t.prove(round.Sent)
+	case isMajority(voting) && t.isComplete(voting):
+		t.recordProof(round.Sent)
 	case isMajority(voting):
 		t.probeReason = "the logs of the control instances hold entries that are not settled"
-	case t.noneCanAccept(voting, round.Refused):
-		t.halt(round)
+	case t.quorumLost(voting, round.Refused):
+		t.recordHalt(round)
 	default:
 		t.probeReason = fmt.Sprintf("only %d of the voting control instances answer, and no quorum confirms them", len(voting))
 	}
 }
 
-// isMajority reports whether the answers come from a majority of the voters, by
-// the membership of each of them. A change of the membership overlaps with a
-// majority of the one before, so that the last one accepted is among these.
+// isMajority reports whether the answers come from a majority of the voters,
+// according to the membership in each answer. Majorities of consecutive
+// memberships overlap, so the last accepted membership is among those checked.
 func isMajority(voting []Answer) bool {
 	for _, answer := range voting {
 		count := 0
@@ -194,37 +200,40 @@
 	return len(voting) > 0
 }
 
-// noneCanAccept reports whether the voters that do not refuse are no majority,
-// by every membership that is known.
-func (t *Tracker) noneCanAccept(voting []Answer, refused []string) bool {
-	if !tooFew(t.voters, refused) {
+// quorumLost reports whether the voters that did not refuse the connection are
+// less than a majority in every known membership, so that no change can be
+// accepted.
+func (t *Tracker) quorumLost(voting []Answer, refused []string) bool {
+	if !belowMajority(t.voters, refused) {
 		return false
 	}
 	for _, answer := range voting {
-		if !tooFew(answer.Voters, refused) {
+		if !belowMajority(answer.Voters, refused) {
 			return false
 		}
 	}
 	return true
 }
 
-func tooFew(voters, refused []string) bool {
+// belowMajority reports whether the voters that are not among refused are less
+// than a majority. It returns false if voters is empty.
+func belowMajority(voters, refused []string) bool {
 	if len(voters) == 0 {
 		return false
 	}
-	left := 0
+	remaining := 0
 	for _, address := range voters {
 		if !slices.Contains(refused, address) {
-			left++
+			remaining++
 		}
 	}
-	return left <= len(voters)/2
+	return remaining <= len(voters)/2
 }
 
-// wholeIn reports whether the answers of a majority of the voters show that the copy is
-// whole: an instance has applied the last entry that any of them holds, and the
-// copy has reached that instance's state.
-func (t *Tracker) wholeIn(voting []Answer) bool {
+// isComplete reports whether the answers of a majority of the voters show that
+// the copy lacks no accepted change: an instance has applied the last entry that
+// any of them holds, and the copy has reached that instance's state.
+func (t *Tracker) isComplete(voting []Answer) bool {
 	var last uint64
 	for _, standing := range voting {
 		last = max(last, standing.LastIndex)
@@ -237,50 +246,52 @@
 	return false
 }
 
-// halt notes that nothing can be accepted at the moment. The copy must have
-// what the instances that still answer hold.
-func (t *Tracker) halt(round Round) {
+// recordHalt records that no change can be accepted at the time of the round,
+// unless the copy is behind an instance that still answers.
+func (t *Tracker) recordHalt(round Round) {
 	for _, standing := range round.Answers {
 		if t.index < standing.ConfigIndex {
 			t.probeReason = "the copy is behind a control instance"
 			return
 		}
 	}
-	if t.proven.IsZero() || round.Sent.Sub(t.last()) > t.options.Lease {
-		// A change may have been accepted in the meantime by instances that
-		// do not run any more.
+	if t.provenAt.IsZero() || round.Sent.Sub(t.completeAt()) > t.options.Lease {
+		// Instances that have stopped since may have accepted a change in the
+		// meantime.
 		t.probeReason = "control has no quorum and the copy was not confirmed before it was lost"
 		return
 	}
-	t.halted = round.Sent
+	t.haltedAt = round.Sent
 	t.haltReason = fmt.Sprintf("%d control instances do not run, and without them nothing can be accepted", len(round.Refused))
 }
 
-// last is the last moment up to which nothing is missing.
-func (t *Tracker) last() time.Time {
-	if t.halted.After(t.proven) {
-		return t.halted
+// completeAt returns the latest time for which the copy is known to lack no
+// accepted change.
+func (t *Tracker) completeAt() time.Time {
+	if t.haltedAt.After(t.provenAt) {
+		return t.haltedAt
 	}
-	return t.proven
+	return t.provenAt
 }
 
-// ProbeDue reports whether the proof is old enough to ask every instance. Half
-// the lease is left for the answers. A longer lease than the default delays no
-// question: changes are to be learned as soon as with the default.
+// ProbeDue reports whether the proof is old enough to ask every control
+// instance. Half of the lease is left for the answers. A lease longer than the
+// default does not delay the question, so that the daemon learns of changes as
+// soon as with the default lease.
 func (t *Tracker) ProbeDue(now time.Time) bool {
-	return now.Sub(t.proven) >= min(t.options.Lease, DefaultLease)/2
+	return now.Sub(t.provenAt) >= min(t.options.Lease, DefaultLease)/2
 }
 
-// State returns what the daemon knows now.
+// State returns what the daemon knows about its copy at the given time.
 func (t *Tracker) State(now time.Time) State {
 	switch {
-	case !t.proven.IsZero() && now.Sub(t.proven) <= t.options.Lease:
-		return State{Kind: Fresh, AsOf: t.proven, Reason: "confirmed by control"}
-	case !t.halted.IsZero() && now.Sub(t.halted) <= t.options.Lease:
-		return State{Kind: Unchangeable, AsOf: t.proven, HaltedAt: t.halted, Reason: t.haltReason}
+	case !t.provenAt.IsZero() && now.Sub(t.provenAt) <= t.options.Lease:
+		return State{Kind: Fresh, AsOf: t.provenAt, Reason: "confirmed by control"}
+	case !t.haltedAt.IsZero() && now.Sub(t.haltedAt) <= t.options.Lease:
+		return State{Kind: Unchangeable, AsOf: t.provenAt, HaltedAt: t.haltedAt, Reason: t.haltReason}
 	case t.probeReason != "":
-		return State{Kind: CutOff, AsOf: t.proven, Reason: t.probeReason}
+		return State{Kind: CutOff, AsOf: t.provenAt, Reason: t.probeReason}
 	default:
-		return State{Kind: CutOff, AsOf: t.proven, Reason: t.reason}
+		return State{Kind: CutOff, AsOf: t.provenAt, Reason: t.reason}
 	}
 }
--- a/coord/freshness/freshness_test.go
+++ b/coord/freshness/freshness_test.go
@@ -12,14 +12,14 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// members are the addresses of a group of control instances.
+// members are the addresses of the control instances.
 var members = []string{"a", "b", "c", "d", "e"}
 
 func confirmed(index uint64) freshness.Standing {
 	return freshness.Standing{Confirmed: true, ConfirmedIndex: index, ConfigIndex: index, Applied: index, LastIndex: index, Voter: true, Voters: members[:3]}
 }
 
-// unconfirmed is the answer of one of three voters.
+// unconfirmed returns the answer of one of three voters without a quorum.
 func unconfirmed(address string, index, last uint64) freshness.Answer {
 	return freshness.Answer{Address: address, Standing: freshness.Standing{
 		ConfigIndex: index, Applied: index, LastIndex: last, Voter: true, Voters: members[:3],
@@ -39,9 +39,10 @@
 	}
 }
 
-// A switch silently cuts one control instance off from the others. Daemons
-// beside it still get its answers, while the others accept a contract change.
-func TestIsolatedInstanceProvesNothing(t *testing.T) {
+// A network partition isolates one control instance from the others. Daemons
+// that reach only this instance still get its answers, while the others accept
+// a contract change.
+func TestIsolatedInstanceGivesNoProof(t *testing.T) {
 	tracker := newTracker(7)
 	tracker.Answer(confirmed(7), at(0))
 	for ms := 100; ms <= 5_000; ms += 100 {
@@ -51,26 +52,25 @@
 	expect(t, tracker, at(3_000), freshness.Fresh)
 	expect(t, tracker, at(3_001), freshness.CutOff)
 	if got := tracker.State(at(5_000)).Reason; !strings.HasPrefix(got, "only 1 of the voting") {
-		t.Errorf("the operator reads %q", got)
+		t.Errorf("reason shown to the operator is %q", got)
 	}
 }
 
-// Control loses its leader, or cannot elect one, while its instances run. Two
-// of three logs together show that nothing else was accepted, so callers are
-// served on.
-func TestMajorityOfLogsProvesWithoutALeader(t *testing.T) {
+// The control instances run without a leader. Two of the three logs together
+// show that nothing else was accepted, so daemons keep serving callers.
+func TestMajorityOfLogsIsProofWithoutLeader(t *testing.T) {
 	tracker := newTracker(7)
 	tracker.Probe(freshness.Round{Sent: at(0), Answers: []freshness.Answer{unconfirmed("a", 7, 7), unconfirmed("b", 5, 6)}})
 	expect(t, tracker, at(3_000), freshness.Fresh)
-	// An entry that may have been accepted before the leader was lost.
+	// Index 8 may have been accepted before the leader was lost.
 	tracker.Probe(freshness.Round{Sent: at(2_000), Answers: []freshness.Answer{unconfirmed("a", 7, 8), unconfirmed("b", 7, 7)}})
 	expect(t, tracker, at(4_000), freshness.CutOff)
 }
 
-// Two of three control processes are stopped. Their machines refuse
-// connections, so nothing can be accepted, and the contracts as they stand
-// stay in force.
-func TestStoppedMajorityCannotChangeAnything(t *testing.T) {
+// Two of three control processes are stopped. Their addresses refuse
+// connections, so no change can be accepted, and the current contracts stay in
+// force.
+func TestStoppedMajorityIsUnchangeable(t *testing.T) {
 	tracker := newTracker(7)
 	tracker.Answer(confirmed(7), at(0))
 	stopped := freshness.Round{Answers: []freshness.Answer{unconfirmed("a", 7, 7)}, Refused: []string{"b", "c"}}
@@ -82,19 +82,19 @@
 	expect(t, tracker, at(64_000), freshness.CutOff)
 }
 
-// The others were silent for longer than the lease before they stopped. They
-// may have accepted a change in that time.
-func TestSilenceBeforeAStopCutsOff(t *testing.T) {
+// The other instances did not answer for longer than the lease before they
+// stopped. They may have accepted a change in that time.
+func TestTimeoutsBeforeStopCutOff(t *testing.T) {
 	tracker := newTracker(7)
 	tracker.Answer(confirmed(7), at(0))
 	tracker.Probe(freshness.Round{Sent: at(3_500), Answers: []freshness.Answer{unconfirmed("a", 7, 7)}, Refused: []string{"b", "c"}})
 	expect(t, tracker, at(3_500), freshness.CutOff)
 }
 
-// Two of five are stopped, two answer without a leader, one is silent. The
-// silent one and the two that answer can elect a leader at any moment. Seeds
-// 175, 281 and 298 of the schedules found this.
-func TestInstancesThatRunMayElectALeader(t *testing.T) {
+// Two of five instances are stopped, two answer without a leader, and one does
+// not answer. The last three can elect a leader at any time. Seeds 175, 281 and
+// 298 of the schedules reproduce this.
+func TestRunningInstancesMayElectLeader(t *testing.T) {
 	tracker := newTracker(7)
 	standing := confirmed(7)
 	standing.Voters = members
@@ -107,9 +107,9 @@
 	expect(t, tracker, at(3_001), freshness.CutOff)
 }
 
-// An instance lost its disk and came back empty; another one is cut off. The
-// two answers look like a majority of three, but the change that the empty one
-// once acknowledged is known to the silent third only.
+// One instance lost its disk and restarted empty, and another one is
+// partitioned. The two answers look like a majority of three, but only the
+// partitioned instance still has the change that the empty one acknowledged.
 func TestEmptyInstanceDoesNotCount(t *testing.T) {
 	empty := freshness.Answer{Address: "c"}
 	learner := unconfirmed("c", 7, 7)
@@ -121,8 +121,8 @@
 	}
 }
 
-// An instance was removed while it was cut off and still believes that it
-// votes. Together with one that knows better it is no majority.
+// An instance was removed while it was partitioned and still considers itself a
+// voter. Its answer and that of one current voter are not a majority.
 func TestRemovedInstanceDoesNotCount(t *testing.T) {
 	current, removed := unconfirmed("a", 7, 7), unconfirmed("c", 7, 7)
 	current.Voters = []string{"a", "b"}
@@ -131,14 +131,15 @@
 	expect(t, tracker, at(0), freshness.CutOff)
 }
 
-func TestProofNeedsTheWholeCopy(t *testing.T) {
+func TestProofNeedsCompleteCopy(t *testing.T) {
 	tracker := newTracker(6)
 	tracker.Answer(confirmed(7), at(0))
 	expect(t, tracker, at(0), freshness.CutOff)
 	tracker.Advance(7)
 	tracker.Answer(confirmed(7), at(10))
 	expect(t, tracker, at(10), freshness.Fresh)
-	// The membership grew beyond the settings: two answers of five prove nothing.
+	// The log has more voters than the settings list: two answers of five are no
+	// proof.
 	grown := newTracker(7)
 	first, second := unconfirmed("a", 7, 7), unconfirmed("b", 7, 7)
 	first.Voters, second.Voters = members, members
--- a/coord/freshness/schedule_test.go
+++ b/coord/freshness/schedule_test.go
@@ -14,40 +14,40 @@
 	tick      = 50 * time.Millisecond
 	ticks     = 1_200
 	seeds     = 300
-	// plantedSeeds are tried for each planted fault.
-	plantedSeeds = 60
-	// probeAfter is the age of a proof from which on the daemon probes.
+	// faultSeeds is the number of seeds run for each injected fault.
+	faultSeeds = 60
+	// probeAfter is the age of a proof at which the daemon probes.
 	probeAfter = time.Second
 )
 
-// cluster is a fake of the control instances at the level that daemons see:
-// logs of entries that carry the term they were written in, a leader where a
-// majority is connected, and faults drawn from a seed.
+// cluster simulates the control instances as daemons see them: logs whose
+// entries carry the term they were written in, a leader where a majority is
+// connected, and faults drawn from a seed.
 type cluster struct {
 	random *rand.Rand
 	now    time.Time
-	// logs hold the term of each entry. Equal logs share their memory, and
-	// an append copies.
+	// logs hold the term of each entry. Equal logs share their memory;
+	// appending copies the slice.
 	logs [instances][]int
-	// applied counts the entries in each instance's state; it may lag.
+	// applied is the number of entries applied by each instance; it may lag.
 	applied [instances]int
 	running [instances]bool
-	// side is the network partition that an instance is on.
+	// side is the side of the network partition that each instance is on.
 	side [instances]int
-	// accepted holds when each committed entry was accepted.
+	// accepted holds the time at which each committed entry was accepted.
 	accepted  []time.Time
 	committed int
 	term      int
 	leader    int
-	// electing is when a leader may be elected after the last was lost.
-	electing time.Time
-	// lying instances claim a quorum that they do not have.
-	lying bool
-	// disks draws when an instance loses its disk, nil for never. It comes
-	// back empty, without a vote, and receives the log as a learner would.
+	// electAt is the earliest time for an election after a leader was lost.
+	electAt time.Time
+	// falseQuorum makes all instances claim a quorum that they do not have.
+	falseQuorum bool
+	// disks draws when an instance loses its disk; nil disables this fault. The
+	// instance restarts empty, without a vote, and receives the log as a learner.
 	disks *rand.Rand
 	empty [instances]bool
-	// emptyVotes counts an empty instance as a voter.
+	// emptyVotes makes empty instances report that they are voters.
 	emptyVotes bool
 }
 
@@ -84,9 +84,9 @@
 	}
 	if c.leader >= 0 && len(c.voters(c.leader)) <= instances/2 {
 		c.leader = -1
-		c.electing = c.now.Add(time.Duration(c.random.IntN(1500)) * time.Millisecond)
+		c.electAt = c.now.Add(time.Duration(c.random.IntN(1500)) * time.Millisecond)
 	}
-	if c.leader < 0 && !c.now.Before(c.electing) {
+	if c.leader < 0 && !c.now.Before(c.electAt) {
 		c.elect()
 	}
 	c.write()
@@ -108,7 +108,8 @@
 	}
 }
 
-// loseDisk empties an instance. At most two do, so that a quorum can remain.
+// loseDisk empties an instance. At most two instances lose their disks, so that
+// a quorum can remain.
 func (c *cluster) loseDisk(i int) {
 	lost := 0
 	for _, empty := range c.empty {
@@ -122,11 +123,11 @@
 	c.empty[i], c.logs[i], c.applied[i] = true, nil, 0
 	if c.leader == i {
 		c.leader = -1
-		c.electing = c.now.Add(time.Second)
+		c.electAt = c.now.Add(time.Second)
 	}
 }
 
-// voters are the connected instances that vote.
+// voters returns the voting instances that are connected to instance i.
 func (c *cluster) voters(i int) (all []int) {
 	for _, j := range c.peers(i) {
 		if !c.empty[j] {
@@ -136,13 +137,14 @@
 	return all
 }
 
-// elect picks the instance with the best log that reaches a majority.
+// elect makes the instance with the most up-to-date log leader, among those
+// that reach a majority.
 func (c *cluster) elect() {
 	for i := range instances {
 		if c.empty[i] || len(c.voters(i)) <= instances/2 {
 			continue
 		}
-		if c.leader < 0 || c.better(i, c.leader) {
+		if c.leader < 0 || c.moreUpToDate(i, c.leader) {
 			c.leader = i
 		}
 	}
@@ -153,7 +155,7 @@
 	c.append(c.leader)
 }
 
-func (c *cluster) better(i, j int) bool {
+func (c *cluster) moreUpToDate(i, j int) bool {
 	a, b := c.logs[i], c.logs[j]
 	if len(a) == 0 || len(b) == 0 {
 		return len(a) > len(b)
@@ -164,8 +166,9 @@
 	return len(a) > len(b)
 }
 
-// write lets the leader accept a change now and then, replicates, and lets a
-// cut-off instance that believes it leads write an entry nobody accepts.
+// write appends changes to the leader's log at random and replicates them.
+// Without a leader, a random instance appends an uncommitted entry, like a stale
+// leader in a partition.
 func (c *cluster) write() {
 	if c.leader >= 0 && c.chance(10) {
 		c.append(c.leader)
@@ -186,7 +189,7 @@
 
 func (c *cluster) append(i int) { c.logs[i] = append(slices.Clip(c.logs[i]), c.term) }
 
-func (c *cluster) holdsLeaders(j int) bool {
+func (c *cluster) matchesLeader(j int) bool {
 	a, b := c.logs[j], c.logs[c.leader]
 	if len(a) == 0 || len(a) != len(b) {
 		return len(a) == len(b)
@@ -195,13 +198,13 @@
 }
 
 func (c *cluster) commit() {
-	holders := 0
+	matching := 0
 	for _, j := range c.voters(c.leader) {
-		if c.holdsLeaders(j) {
-			holders++
+		if c.matchesLeader(j) {
+			matching++
 		}
 	}
-	if holders <= instances/2 {
+	if matching <= instances/2 {
 		return
 	}
 	c.committed = len(c.logs[c.leader])
@@ -209,14 +212,14 @@
 		c.accepted = append(c.accepted, c.now)
 	}
 	for _, j := range c.peers(c.leader) {
-		if c.holdsLeaders(j) && c.chance(70) {
+		if c.matchesLeader(j) && c.chance(70) {
 			c.applied[j] = c.committed
 		}
 	}
 }
 
 func (c *cluster) standing(i int) freshness.Standing {
-	led := c.leader >= 0 && c.connected(i, c.leader) && c.applied[i] == c.committed
+	hasQuorum := c.leader >= 0 && c.connected(i, c.leader) && c.applied[i] == c.committed
 	return freshness.Standing{
 		Voter:          !c.empty[i] || c.emptyVotes,
 		Voters:         members,
@@ -224,24 +227,25 @@
 		Applied:        uint64(c.applied[i]),
 		ConfigIndex:    uint64(c.applied[i]),
 		ConfirmedIndex: uint64(c.applied[i]),
-		Confirmed:      led || c.lying,
+		Confirmed:      hasQuorum || c.falseQuorum,
 	}
 }
 
-// daemon follows one instance at a time, as internal/follow does. It stands on
-// one side of the partitions.
+// daemon follows one instance at a time, as internal/follow does. It is on one
+// side of the partition.
 type daemon struct {
 	tracker *freshness.Tracker
 	index   uint64
 	peer    int
 	side    int
-	// Faults planted into the daemon.
-	countSilence, stampOnArrival bool
+	// Faults injected into the daemon.
+	countTimeouts, stampOnArrival bool
 }
 
 func (d *daemon) reaches(c *cluster, i int) bool { return c.side[i] == d.side }
 
-// question asks an instance and returns its answer after a delay on the way.
+// watch asks the followed instance and records its answer after a random network
+// delay. If the instance cannot be reached, watch moves on to the next one.
 func (d *daemon) watch(c *cluster) {
 	sent := c.now
 	if !d.reaches(c, d.peer) || !c.running[d.peer] {
@@ -266,7 +270,7 @@
 		switch {
 		case d.reaches(c, i) && c.running[i]:
 			round.Answers = append(round.Answers, freshness.Answer{Address: members[i], Standing: c.standing(i)})
-		case d.reaches(c, i) || d.countSilence:
+		case d.reaches(c, i) || d.countTimeouts:
 			round.Refused = append(round.Refused, members[i])
 		}
 	}
@@ -274,8 +278,9 @@
 }
 
 // violates reports whether the daemon would admit under a copy that lacks a
-// change accepted more than the lease ago. A daemon that knows control to be
-// halted may lack what was accepted in the lease before, and nothing since.
+// change accepted more than the lease ago. If the state is Unchangeable, the copy
+// may lack changes accepted within one lease after the last proof, but no later
+// ones.
 func (d *daemon) violates(c *cluster) bool {
 	state := d.tracker.State(c.now)
 	if !state.MayAdmit() || int(d.index) >= len(c.accepted) {
@@ -288,17 +293,17 @@
 	return c.now.Sub(missing) > freshness.DefaultLease
 }
 
-type verdicts struct {
+type tally struct {
 	violations int
 	admitting  int
 	cutOff     int
 }
 
-func run(seed uint64, spoil func(*cluster, *daemon)) verdicts {
+func run(seed uint64, inject func(*cluster, *daemon)) tally {
 	c := newCluster(seed)
 	d := &daemon{tracker: freshness.NewTracker(freshness.Options{})}
-	spoil(c, d)
-	var v verdicts
+	inject(c, d)
+	var v tally
 	for range ticks {
 		c.step()
 		if c.chance(1) {
@@ -322,11 +327,11 @@
 	return v
 }
 
-// Partitions, crashes, elections and delays come in any order. A daemon that
-// admitted under a contract superseded longer ago than the lease would serve a
-// retired customer, and no operator could tell for how long.
-func TestNoSeedAdmitsUnderASupersededContract(t *testing.T) {
-	var total verdicts
+// Partitions, crashes, elections and delays occur in random order. A daemon that
+// admits under a contract superseded longer ago than the lease serves a retired
+// customer for an unbounded time.
+func TestNoAdmissionUnderSupersededContract(t *testing.T) {
+	var total tally
 	for seed := range uint64(seeds) {
 		v := run(seed, func(*cluster, *daemon) {})
 		if v.violations > 0 {
@@ -336,51 +341,51 @@
 		total.cutOff += v.cutOff
 	}
 	if total.admitting == 0 || total.cutOff == 0 {
-		t.Errorf("the schedules must bring about both states: %+v", total)
+		t.Errorf("the schedules must reach both states: %+v", total)
 	}
-	t.Logf("%d seeds: admitting in %d moments, cut off in %d", seeds, total.admitting, total.cutOff)
+	t.Logf("%d seeds: admitting in %d ticks, cut off in %d", seeds, total.admitting, total.cutOff)
 }
 
-// Instances lose their disks besides, and come back empty.
-func TestNoSeedTrustsAnEmptyInstance(t *testing.T) {
-	lossy := func(seed uint64, emptyVotes bool) verdicts {
+// In addition to the other faults, instances lose their disks and restart empty.
+func TestEmptyInstanceIsNotTrusted(t *testing.T) {
+	runWithDiskLoss := func(seed uint64, emptyVotes bool) tally {
 		return run(seed, func(c *cluster, _ *daemon) {
 			c.disks = rand.New(rand.NewPCG(seed, 2))
 			c.emptyVotes = emptyVotes
 		})
 	}
 	for seed := range uint64(seeds) {
-		if v := lossy(seed, false); v.violations > 0 {
+		if v := runWithDiskLoss(seed, false); v.violations > 0 {
 			t.Errorf("seed %d: %d violations", seed, v.violations)
 		}
 	}
-	// Of the 300 seeds this one notices when an empty instance counts as a voter.
-	const noticing = 239
-	if lossy(noticing, true).violations == 0 {
-		t.Errorf("seed %d did not notice that an empty instance counted as a voter", noticing)
+	// Of the 300 seeds, this one detects that an empty instance counts as a voter.
+	const detectingSeed = 239
+	if runWithDiskLoss(detectingSeed, true).violations == 0 {
+		t.Errorf("seed %d did not detect that an empty instance counted as a voter", detectingSeed)
 	}
 }
 
-// The schedules are only worth something if they notice a wrong rule.
-func TestSchedulesCatchPlantedFaults(t *testing.T) {
+// The schedules must detect each fault that is injected into the rules.
+func TestSchedulesDetectInjectedFaults(t *testing.T) {
 	faults := map[string]func(*cluster, *daemon){
-		"an isolated instance's answer counts as a proof": func(c *cluster, _ *daemon) { c.lying = true },
-		"silence counts as a refused connection":          func(_ *cluster, d *daemon) { d.countSilence = true },
-		"a proof is dated when it arrives":                func(_ *cluster, d *daemon) { d.stampOnArrival = true },
-	}
-	for name, spoil := range faults {
-		caught, first := 0, -1
-		for seed := range uint64(plantedSeeds) {
-			if run(seed, spoil).violations > 0 {
-				caught++
+		"an isolated instance's answer counts as a proof": func(c *cluster, _ *daemon) { c.falseQuorum = true },
+		"a timeout counts as a refused connection":        func(_ *cluster, d *daemon) { d.countTimeouts = true },
+		"a proof is stamped on arrival":                   func(_ *cluster, d *daemon) { d.stampOnArrival = true },
+	}
+	for name, inject := range faults {
+		detected, first := 0, -1
+		for seed := range uint64(faultSeeds) {
+			if run(seed, inject).violations > 0 {
+				detected++
 				if first < 0 {
 					first = int(seed)
 				}
 			}
 		}
-		if caught == 0 {
-			t.Errorf("%s: no seed of %d noticed", name, plantedSeeds)
+		if detected == 0 {
+			t.Errorf("%s: none of %d seeds detected it", name, faultSeeds)
 		}
-		t.Logf("%s: noticed by %d of %d seeds, first %d", name, caught, plantedSeeds, first)
+		t.Logf("%s: detected by %d of %d seeds, first %d", name, detected, faultSeeds, first)
 	}
 }
