--- a/coord/membership/delta.go
+++ b/coord/membership/delta.go
@@ -8,18 +8,19 @@
 	"github.com/rosemarypass/rosemarypass/coord/catalogue"
 )
 
-// Delta brings a View from one version of a directory to another. Numbers
-// stand for servers, so that a load report costs a few bytes.
+// Delta updates a View from one version of a directory to another. It refers to
+// servers by numeric IDs, so that a load report takes only a few bytes.
 type Delta struct {
-	// Epoch and Version name the content that the delta leads to.
+	// Epoch and Version identify the content after the delta is applied.
 	Epoch   uint64 `json:"epoch"`
 	Version uint64 `json:"version"`
 	// Whole means that Joined lists every member.
 	Whole bool `json:"whole"`
-	// Warm means that a server which is not listed is gone. A control
-	// instance that just started does not know yet.
+	// Warm means that a server that is not listed is gone. A control instance
+	// that has just started cannot tell yet.
 	Warm bool `json:"warm"`
-	// Lease is the directory's lease.
+	// Lease is how long the directory lists a server after its last
+	// announcement.
 	Lease     time.Duration `json:"lease"`
 	Left      []uint32      `json:"left"`
 	Joined    []Joined      `json:"joined"`
@@ -45,8 +46,9 @@
 	Adapters []catalogue.Ref `json:"adapters"`
 }
 
-// Delta returns what changed since a version of this directory's epoch, or the
-// whole content when that is not known any more.
+// Delta returns the changes since the given version of the given epoch. It
+// returns the whole content if the epoch is not this directory's or if the
+// departures since that version are no longer known.
 func (d *Directory) Delta(epoch, since uint64, now time.Time) Delta {
 	whole := epoch != d.epoch || since > d.version || since < d.oldest()
 	delta := Delta{Epoch: d.epoch, Version: d.version, Whole: whole, Warm: d.Warm(now), Lease: d.options.Lease}
@@ -56,13 +58,13 @@
 		delta.Left = d.leftSince(since)
 	}
 	for _, m := range d.members {
-		m.addTo(&delta, since)
+		m.appendTo(&delta, since)
 	}
 	delta.sort()
 	return delta
 }
 
-// oldest is the version from which on departures are known.
+// oldest returns the version since which all departures are known.
 func (d *Directory) oldest() uint64 {
 	if len(d.departures) < d.options.MaxServers {
 		return 0
@@ -72,28 +74,28 @@
 
 func (d *Directory) leftSince(since uint64) []uint32 {
 	var left []uint32
-	for _, gone := range d.departures {
-		if gone.version > since {
-			left = append(left, gone.id)
+	for _, departed := range d.departures {
+		if departed.version > since {
+			left = append(left, departed.id)
 		}
 	}
 	return left
 }
 
-func (m *member) addTo(delta *Delta, since uint64) {
+func (m *member) appendTo(delta *Delta, since uint64) {
 	if m.identityAt > since {
-		shown := m.announcement
-		shown.Load = m.shown
-		delta.Joined = append(delta.Joined, Joined{ID: m.id, Announcement: shown})
+		announced := m.announcement
+		announced.Load = m.published
+		delta.Joined = append(delta.Joined, Joined{ID: m.id, Announcement: announced})
 		return
 	}
 	if m.loadAt > since {
-		load := m.shown
+		load := m.published
 		load.Resident = nil
 		delta.Loads = append(delta.Loads, LoadOf{ID: m.id, Load: load})
 	}
 	if m.residentAt > since {
-		delta.Residents = append(delta.Residents, Resident{ID: m.id, Adapters: m.shown.Resident})
+		delta.Residents = append(delta.Residents, Resident{ID: m.id, Adapters: m.published.Resident})
 	}
 }
 
@@ -109,32 +111,32 @@
 	version uint64
 	warm    bool
 	members map[uint32]Announcement
-	// held are members of the last directory that a control instance which
-	// just started has not heard of yet. Emptying the view instead would
-	// leave an entry without servers after control restarts.
+	// held are members of the previous directory that a newly started control
+	// instance does not list yet. Dropping them would leave an entry without
+	// servers after a restart of control.
 	held map[string]Announcement
-	// leaving are servers of which another control instance told that they
-	// leave, until when the present one must have heard it too.
+	// leaving maps servers that another control instance reported as leaving to
+	// the time by which the current instance must know it as well.
 	leaving map[string]time.Time
 }
 
 // NewView returns an empty view.
 func NewView() *View { return &View{members: make(map[uint32]Announcement)} }
 
-// Epoch is the directory that the view last took a delta from.
+// Epoch returns the epoch of the directory whose delta was applied last.
 func (v *View) Epoch() uint64 { return v.epoch }
 
-// Version is the directory's version that the view stands at.
+// Version returns the version of the directory that the view reflects.
 func (v *View) Version() uint64 { return v.version }
 
-// Apply takes a delta in and reports whether the view changed.
+// Apply applies a delta and reports whether the view changed.
 func (v *View) Apply(d Delta, now time.Time) bool {
 	if !d.Whole && d.Epoch != v.epoch {
 		return false
 	}
-	forgot := v.forgetLeaving(now)
+	expired := v.forgetLeaving(now)
 	if d.Epoch == v.epoch && d.Version == v.version && d.Warm == v.warm {
-		return forgot
+		return expired
 	}
 	last := v.byServer()
 	if d.Epoch != v.epoch {
@@ -175,7 +177,8 @@
 	}
 }
 
-// hold keeps what was known before while the control instance is not warm.
+// hold keeps the servers in last that are not listed any more while the control
+// instance is not warm.
 func (v *View) hold(last map[string]Announcement) {
 	v.held = nil
 	if v.warm {
@@ -187,9 +190,9 @@
 	v.held = last
 }
 
-// rememberLeaving keeps the word of the control instance that the daemon moves
-// away from: the next one may lag. A server that the next one still lists after
-// a whole lease has announced itself there in the meantime.
+// rememberLeaving keeps the servers that the previous control instance reported
+// as leaving, because the next one may lag. A server that the next one still
+// lists after a whole lease has announced itself there in the meantime.
 func (v *View) rememberLeaving(until time.Time) {
 	if v.leaving == nil {
 		v.leaving = make(map[string]time.Time)
@@ -201,15 +204,17 @@
 	}
 }
 
+// forgetLeaving drops the remembered leaving servers whose time has passed, and
+// reports whether there were any.
 func (v *View) forgetLeaving(now time.Time) bool {
-	forgot := false
+	expired := false
 	for server, until := range v.leaving {
 		if !now.Before(until) {
 			delete(v.leaving, server)
-			forgot = true
+			expired = true
 		}
 	}
-	return forgot
+	return expired
 }
 
 func (v *View) byServer() map[string]Announcement {
@@ -223,7 +228,7 @@
 	return all
 }
 
-// Servers returns the members by name.
+// Servers returns the members, sorted by name.
 func (v *View) Servers() []Announcement {
 	all := make([]Announcement, 0, len(v.members)+len(v.held))
 	for _, m := range v.members {
--- a/coord/membership/example_test.go
+++ b/coord/membership/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/rosemarypass/rosemarypass/coord/membership"
 )
 
-// A control instance keeps a Directory, and a daemon a View of it that takes in
-// what changed since it last asked.
+// A control instance keeps a Directory. A daemon keeps a View of it and applies
+// the changes since its last request.
 func Example() {
 	now := time.Unix(1_000, 0)
 	directory := membership.NewDirectory(membership.Options{Lease: 2 * time.Second}, 1, now)
--- a/coord/membership/membership.go
+++ b/coord/membership/membership.go
@@ -1,9 +1,9 @@
-// Package membership keeps the directory of backend servers that have
-// announced themselves. There is no list of servers: a server is present while
-// its lease runs, and gone within one lease after its last announcement.
+// Package membership keeps the directory of backend servers that have announced
+// themselves. No configured list of servers exists: a server is listed until its
+// lease expires, which is one lease after its last announcement.
 //
-// Control instances hold a Directory each and hand out Deltas; entries hold a
-// View that takes them in.
+// Each control instance holds a Directory and serves Deltas; entries apply them
+// to a View.
 package membership
 
 import (
@@ -27,75 +27,79 @@
 	KindService Kind = "service"
 )
 
-// Load is a server's report about itself; it lags behind the truth.
+// Load is a server's report of its own load. It lags behind the actual state.
 type Load struct {
-	// Running and Waiting count requests at the server.
+	// Running and Waiting are the numbers of requests at the server.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// Capacity is how many requests the engine can batch at once.
+	// Capacity is the number of requests that the engine can batch at once.
 	Capacity int `json:"capacity"`
 	// Resident lists the loaded adapters.
 	Resident []catalogue.Ref `json:"resident,omitempty"`
-	// Loading lists the adapters on their way.
+	// Loading lists the adapters that are being loaded.
 	Loading []catalogue.Ref `json:"loading,omitempty"`
-	// Obtainable counts the adapter slots that another adapter could get now.
+	// Obtainable is the number of adapter slots that are available to another
+	// adapter now.
 	Obtainable int `json:"obtainable,omitempty"`
 	// VictimUse is the decayed use, in requests, of the adapter that the next
-	// load would evict; 0 when a slot is free.
+	// load would evict; 0 if a slot is free.
 	VictimUse float64 `json:"victimUse,omitempty"`
-	// LoadMillis is the recent time of a load, permit included.
+	// LoadMillis is the recent duration of an adapter load in milliseconds,
+	// including the wait for the permit.
 	LoadMillis int `json:"loadMillis,omitempty"`
-	// StallPercent is the share of recent requests that waited for their
-	// adapter, StallMillis how long these waited on average. Both are rounded.
+	// StallPercent is the percentage of recent requests that waited for their
+	// adapter, and StallMillis their average wait in milliseconds. Both are
+	// rounded.
 	StallPercent int `json:"stallPercent,omitempty"`
 	StallMillis  int `json:"stallMillis,omitempty"`
 }
 
-// useStep is the step in which daemons see VictimUse, in requests. The exact
-// value decays from moment to moment, so that every report would differ from
-// the last and carry eight bytes that no compression shortens.
+// useStep is the resolution, in requests, to which VictimUse is rounded before it
+// is sent to daemons. The exact value decays continuously, so that every report
+// would differ from the last and carry eight bytes that do not compress.
 const useStep = 0.125
 
-func (l Load) coarse() Load {
+func (l Load) rounded() Load {
 	l.VictimUse = math.Round(l.VictimUse/useStep) * useStep
 	return l
 }
 
-// Announcement is what a backend server, or the agent beside it, says of itself.
+// Announcement is the state that a backend server, or the agent in front of it,
+// reports.
 type Announcement struct {
 	Server     string `json:"server"`
 	Kind       Kind   `json:"kind"`
 	Pool       string `json:"pool"`
 	DataCentre string `json:"dataCentre"`
 	// Address is where entries send requests: the agent's address, or the
-	// server's own when it has no agent.
+	// server's own if it has no agent.
 	Address string `json:"address"`
-	// Agent is true when an agent gates the server.
+	// Agent reports whether an agent gates the server.
 	Agent bool `json:"agent"`
 	// BaseModel is the model that an engine serves.
 	BaseModel string `json:"baseModel,omitempty"`
-	// Slots is the number of adapter slots of an engine.
+	// Slots is the number of the engine's adapter slots.
 	Slots int `json:"slots,omitempty"`
-	// Incarnation grows with every restart of the announcing process.
+	// Incarnation increases with every restart of the announcing process.
 	Incarnation uint64 `json:"incarnation"`
-	// Sequence grows with every announcement of one incarnation. A delayed
-	// announcement with a lower number must not undo a later one, such as a
-	// server's word that it is leaving.
+	// Sequence increases with every announcement of one incarnation. A delayed
+	// announcement with a lower number must not undo a later one, such as the
+	// notice that the server is leaving.
 	Sequence uint64 `json:"sequence"`
-	// Leaving is true once the server takes no new work.
+	// Leaving reports whether the server has stopped accepting new work.
 	Leaving bool `json:"leaving"`
 	Load    Load `json:"load"`
 }
 
-// Bounds of an announcement. An announcer that exceeds them is refused, so that
-// a faulty or foreign process cannot grow the directory of every daemon.
+// Bounds of an announcement. An announcement that exceeds them is refused, so
+// that a faulty or foreign process cannot grow the directory of every daemon.
 const (
 	MaxAddressLength = 256
 	MaxResident      = 1024
 	MaxSlots         = 1024
 )
 
-// Validate reports the first rule that the announcement breaks.
+// Validate returns an error for the first rule that the announcement violates.
 func (a Announcement) Validate() error {
 	if err := catalogue.CheckName(a.Server); err != nil {
 		return errors.Wrap(err, "server")
@@ -122,12 +126,13 @@
 	return nil
 }
 
-// newerThan orders announcements of one server.
+// newerThan reports whether a supersedes b, an announcement of the same server.
 func (a Announcement) newerThan(b Announcement) bool { return a.stamp().after(b.stamp()) }
 
 func (a Announcement) stamp() stamp { return stamp{a.Incarnation, a.Sequence} }
 
-// sameIdentity reports whether two announcements differ in load and number only.
+// sameIdentity reports whether two announcements differ only in load and sequence
+// number.
 func (a Announcement) sameIdentity(b Announcement) bool {
 	a.Load, b.Load = Load{}, Load{}
 	a.Sequence, b.Sequence = 0, 0
@@ -148,34 +153,35 @@
 var (
 	// ErrStale means that a newer announcement of the server is known.
 	ErrStale = errors.New("a newer announcement of this server is known")
-	// ErrFull means that the directory holds its most servers.
+	// ErrFull means that the directory holds its maximum number of servers.
 	ErrFull = errors.New("the directory holds its most servers")
 )
 
-// Options configure a directory.
+// Options configures a Directory.
 type Options struct {
 	// Lease is how long a server stays listed after its last announcement.
 	Lease time.Duration
-	// MaxServers bounds the servers, and the departed ones that are remembered.
+	// MaxServers bounds the number of listed servers and, separately, of departed
+	// servers that are remembered.
 	MaxServers int
 }
 
 const defaultMaxServers = 4096
 
-// Directory is a soft-state table of announced servers with versions. It is
-// not safe for concurrent use: one duty owns it.
+// Directory is a versioned soft-state table of announced servers. It is not safe
+// for concurrent use; its owner serializes the calls.
 type Directory struct {
 	options Options
 	epoch   uint64
 	started time.Time
-	// warm is what daemons were told of Warm.
+	// warm is the value of Warm last published to daemons.
 	warm    bool
 	version uint64
 	nextID  uint32
 	members map[string]*member
-	// departures tell daemons that are behind which members have gone.
+	// departures lists the members that left, for daemons that are behind.
 	departures []departure
-	// departed keeps the last stamp of servers that went, so that a delayed
+	// departed holds the last stamp of servers that left, so that a delayed
 	// announcement does not list a stopped server again.
 	departed      map[string]stamp
 	departedOrder []string
@@ -185,10 +191,12 @@
 	id           uint32
 	announcement Announcement
 	expires      time.Time
-	// identityAt, residentAt and loadAt are the versions of the last change.
+	// identityAt, residentAt and loadAt are the versions in which the identity,
+	// the resident adapters and the load last changed.
 	identityAt, residentAt, loadAt uint64
-	// shown is the load that daemons were told; the announcement's is newer.
-	shown Load
+	// published is the load last published to daemons; the announcement's load
+	// may be newer.
+	published Load
 }
 
 type departure struct {
@@ -196,8 +204,8 @@
 	id      uint32
 }
 
-// NewDirectory returns an empty directory. Epoch tells it apart from every
-// earlier directory, whose versions mean nothing in this one.
+// NewDirectory returns an empty directory. The epoch distinguishes it from every
+// earlier directory, whose versions have no meaning in this one.
 func NewDirectory(options Options, epoch uint64, now time.Time) *Directory {
 	if options.MaxServers == 0 {
 		options.MaxServers = defaultMaxServers
@@ -211,32 +219,36 @@
 	}
 }
 
-// Epoch tells the directory apart from those of other control instances.
+// Epoch returns the epoch, which distinguishes the directory from those of other
+// control instances.
 func (d *Directory) Epoch() uint64 { return d.epoch }
 
-// Version moves when daemons have something to learn.
+// Version returns the current version, which increases whenever there is a change
+// for daemons.
 func (d *Directory) Version() uint64 { return d.version }
 
-// Announce takes an announcement into account. A change of load is shown to
-// daemons at the next Publish only, other changes at once.
+// Announce records an announcement. A changed load becomes visible to daemons at
+// the next Publish, any other change immediately. It returns ErrStale if a newer
+// announcement of the server is known, and ErrFull if there is no room for another
+// server.
 func (d *Directory) Announce(a Announcement, now time.Time) error {
 	if err := a.Validate(); err != nil {
 		return err
 	}
-	known, present := d.members[a.Server]
+	current, present := d.members[a.Server]
 	if !present {
 		return d.join(a, now)
 	}
-	if !a.newerThan(known.announcement) {
+	if !a.newerThan(current.announcement) {
 		return ErrStale
 	}
-	if !a.sameIdentity(known.announcement) {
+	if !a.sameIdentity(current.announcement) {
 		d.version++
-		known.identityAt = d.version
-		known.shown = a.Load.coarse()
+		current.identityAt = d.version
+		current.published = a.Load.rounded()
 	}
-	known.announcement = a
-	known.expires = now.Add(d.options.Lease)
+	current.announcement = a
+	current.expires = now.Add(d.options.Lease)
 	return nil
 }
 
@@ -254,13 +266,13 @@
 		announcement: a,
 		expires:      now.Add(d.options.Lease),
 		identityAt:   d.version,
-		shown:        a.Load.coarse(),
+		published:    a.Load.rounded(),
 	}
 	return nil
 }
 
-// Publish drops expired members and shows daemons the loads that changed since
-// the last call.
+// Publish drops expired members and makes the loads that changed since the last
+// call visible to daemons.
 func (d *Directory) Publish(now time.Time) {
 	d.Expire(now)
 	next := d.version + 1
@@ -269,26 +281,26 @@
 		d.version = next
 	}
 	for _, m := range d.members {
-		if d.showLoad(m, next) {
+		if d.publishLoad(m, next) {
 			d.version = next
 		}
 	}
 }
 
-func (d *Directory) showLoad(m *member, version uint64) bool {
-	latest := m.announcement.Load.coarse()
-	if reflect.DeepEqual(latest, m.shown) {
+func (d *Directory) publishLoad(m *member, version uint64) bool {
+	latest := m.announcement.Load.rounded()
+	if reflect.DeepEqual(latest, m.published) {
 		return false
 	}
-	if !reflect.DeepEqual(latest.Resident, m.shown.Resident) {
+	if !reflect.DeepEqual(latest.Resident, m.published.Resident) {
 		m.residentAt = version
 	}
 	m.loadAt = version
-	m.shown = latest
+	m.published = latest
 	return true
 }
 
-// Expire drops the members whose lease has run out.
+// Expire drops the members whose lease has expired.
 func (d *Directory) Expire(now time.Time) {
 	for server, m := range d.members {
 		if now.Before(m.expires) {
@@ -315,11 +327,12 @@
 	}
 }
 
-// Warm reports whether every living server has had a whole lease to announce
-// itself since the directory began. Before that, absence proves nothing.
+// Warm reports whether every running server has had a whole lease to announce
+// itself since the directory was created. Before that, a missing server may still
+// be running.
 func (d *Directory) Warm(now time.Time) bool { return now.Sub(d.started) >= d.options.Lease }
 
-// Live returns the members' last announcements, in no order.
+// Live returns the last announcement of each member, in no particular order.
 func (d *Directory) Live() []Announcement {
 	live := make([]Announcement, 0, len(d.members))
 	for _, m := range d.members {
--- a/coord/membership/membership_test.go
+++ b/coord/membership/membership_test.go
@@ -46,28 +46,28 @@
 	return all
 }
 
-// A server says that it leaves and stops. An earlier announcement was held up
-// on the way and arrives afterwards, before or after the server's lease ran
-// out. Taking it in would send callers to a server that is gone.
+// A server announces that it is leaving and stops. An earlier announcement is
+// delayed and arrives later, before or after the server's lease expires. Accepting
+// it would route requests to a server that is gone.
 func TestDelayedAnnouncementIsRefused(t *testing.T) {
 	d := newDirectory(1)
 	mustAnnounce(t, d, leaving("a", 5), start)
 	if err := d.Announce(announcement("a", 4), start); err != membership.ErrStale {
-		t.Errorf("before the lease ran out: %v", err)
+		t.Errorf("before the lease expired: %v", err)
 	}
 	gone := start.Add(lease)
 	d.Expire(gone)
 	if err := d.Announce(announcement("a", 4), gone); err != membership.ErrStale {
-		t.Errorf("after the lease ran out: %v", err)
+		t.Errorf("after the lease expired: %v", err)
 	}
 	restarted := announcement("a", 1)
 	restarted.Incarnation = 2
 	mustAnnounce(t, d, restarted, gone)
 }
 
-// A control instance restarts with an empty directory, or all of them do. An
-// entry that took the empty directory at its word would refuse every caller
-// until the servers have announced themselves again.
+// One or all control instances restart with an empty directory. An entry that
+// applied the empty directory would refuse every request until the servers
+// announce themselves again.
 func TestRestartedControlInstanceDoesNotEmptyTheView(t *testing.T) {
 	old, view := newDirectory(1), membership.NewView()
 	mustAnnounce(t, old, announcement("a", 1), start)
@@ -89,9 +89,9 @@
 	}
 }
 
-// An entry moves to a control instance that has not yet heard that a server
-// leaves. Choosing that server again would send it work that it refuses.
-func TestLaggingControlInstanceDoesNotUndoALeave(t *testing.T) {
+// An entry switches to a control instance that does not know yet that a server is
+// leaving. Selecting that server again would send it work that it refuses.
+func TestLaggingControlInstanceDoesNotUndoLeave(t *testing.T) {
 	ahead, behind, view := newDirectory(1), newDirectory(2), membership.NewView()
 	mustAnnounce(t, ahead, leaving("a", 2), start)
 	mustAnnounce(t, behind, announcement("a", 1), start)
@@ -115,9 +115,9 @@
 		"many loading":      func(a *membership.Announcement) { a.Load.Loading = make([]catalogue.Ref, 1025) },
 		"unnamed residents": func(a *membership.Announcement) { a.Load.Resident = make([]catalogue.Ref, 1) },
 	}
-	for name, spoil := range cases {
+	for name, invalidate := range cases {
 		a := announcement("a", 1)
-		spoil(&a)
+		invalidate(&a)
 		if err := newDirectory(1).Announce(a, start); err == nil {
 			t.Errorf("%s was accepted", name)
 		}
@@ -131,8 +131,8 @@
 	}
 }
 
-// Load reports arrive several times a second from each server; daemons must
-// hear of them once for each publication.
+// Each server reports its load several times a second; daemons must receive one
+// update for each publication.
 func TestLoadsAreCoalesced(t *testing.T) {
 	d, view := newDirectory(1), membership.NewView()
 	mustAnnounce(t, d, announcement("a", 1), start)
@@ -144,7 +144,7 @@
 		mustAnnounce(t, d, a, start)
 	}
 	if d.Version() != before {
-		t.Error("a load report moved the version")
+		t.Error("a load report changed the version")
 	}
 	d.Publish(start)
 	delta := d.Delta(view.Epoch(), view.Version(), start)
@@ -157,9 +157,9 @@
 	}
 }
 
-// The use of an adapter decays with every report although nothing happens. An
-// idle fleet must not keep every daemon busy with that.
-func TestDecayAloneIsNoNews(t *testing.T) {
+// The use of an adapter decays with every report, even without requests. An idle
+// fleet must not cause updates to every daemon.
+func TestDecayDoesNotChangeVersion(t *testing.T) {
 	d := newDirectory(1)
 	a := announcement("a", 1)
 	a.Load.VictimUse = 0.501
@@ -169,12 +169,12 @@
 	mustAnnounce(t, d, a, start)
 	d.Publish(start)
 	if d.Version() != before {
-		t.Error("the version moved")
+		t.Error("the version changed")
 	}
 }
 
-// Random announcements, expiries and deltas taken at random moments must leave
-// a view with exactly the directory's servers and their last loads.
+// After random announcements, expiries and deltas, the view must contain exactly
+// the directory's servers and their last loads.
 func TestViewAgreesWithDirectory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := start
@@ -197,7 +197,7 @@
 				view.Apply(followed.Delta(view.Epoch(), view.Version(), now), now)
 			}
 		}
-		// A lease later everything that another directory told is settled.
+		// After one lease, reports of the other directory no longer have any effect.
 		live := followed.Live()
 		now = now.Add(lease)
 		for _, a := range live {
