--- a/coord/roster/roster.go
+++ b/coord/roster/roster.go
@@ -1,7 +1,8 @@
-// Package roster is the directory of backend servers of a deployment in which
-// servers announce themselves. Announcements reach a daemon out of order, late
-// and over several ways; the newest one of the newest incarnation wins, so that
-// all daemons that have heard the same agree, whatever the order.
+// Package roster maintains the directory of backend servers of a deployment in
+// which servers announce themselves. Announcements reach a daemon late, out of
+// order and over several paths. The newest announcement of the newest incarnation
+// wins, so that all daemons that have received the same announcements agree,
+// regardless of their order.
 package roster
 
 import (
@@ -10,31 +11,35 @@
 	"time"
 )
 
-// Server is what a backend server says of itself.
+// Server is the announcement of a backend server.
 type Server struct {
-	// ID names an incarnation; a few servers start again under the same one.
+	// ID identifies an incarnation. A few servers reuse their ID after a
+	// restart.
 	ID string `json:"id"`
-	// Born is when the incarnation started, in Unix milliseconds of its own
-	// clock.
+	// Born is the start time of the incarnation, in Unix milliseconds of the
+	// server's own clock.
 	Born int64 `json:"born"`
-	// Sequence increases with each announcement of an incarnation.
+	// Sequence increases with every announcement of an incarnation.
 	Sequence int64  `json:"sequence"`
 	Service  string `json:"service"`
 	Address  string `json:"address"`
-	// DataCentre is where it runs.
+	// DataCentre is the data centre in which the server runs.
 	DataCentre string `json:"dataCentre"`
 	Slots      int    `json:"slots"`
-	// Leaving servers take no new work; Gone ones have ended.
+	// Leaving reports whether the server has stopped accepting new work, Gone
+	// whether it has terminated.
 	Leaving bool `json:"leaving,omitempty"`
 	Gone    bool `json:"gone,omitempty"`
-	// ColdMillis is how much longer it is slow after its start.
+	// ColdMillis is the remaining time, in milliseconds, for which the server is
+	// slow after its start.
 	ColdMillis int64 `json:"coldMillis,omitempty"`
-	// Models are the base models that it holds, Adapters as model/adapter@version.
+	// Models are the loaded base models, Adapters the loaded adapters as
+	// model/adapter@version.
 	Models   []string `json:"models,omitempty"`
 	Adapters []string `json:"adapters,omitempty"`
 }
 
-// newer reports whether a says something later than b of the same ID.
+// newer reports whether s supersedes b, an announcement with the same ID.
 func (s *Server) newer(b *Server) bool {
 	if s.Born != b.Born {
 		return s.Born > b.Born
@@ -45,40 +50,42 @@
 	return s.Sequence > b.Sequence
 }
 
-// Beat says that an incarnation still lives, and nothing else: most
-// announcements tell other daemons no more than that.
+// Beat is a heartbeat: it reports only that an incarnation is alive. Most
+// announcements contain no other news for daemons.
 type Beat struct {
 	ID       string `json:"id"`
 	Born     int64  `json:"born"`
 	Sequence int64  `json:"sequence"`
 }
 
-// beatInterval is the least time between two changes of an entry that say no
-// more than that its server lives. Daemons pass each change on to others, and a
-// heartbeat of each of 600 servers every second would be most of what they say.
+// beatInterval is the minimum time between two changes of an entry that report
+// only that its server is alive. Daemons forward each change to others, and a
+// heartbeat of each of 600 servers every second would be most of that traffic.
 const beatInterval = 4 * time.Second
 
-// Entry is a server as this daemon knows it.
+// Entry is a server as known to this daemon.
 type Entry struct {
 	Server
-	// Heard is when its newest announcement arrived here.
+	// Heard is when the newest announcement arrived at this daemon.
 	Heard time.Time
-	// Change counts this roster's changes; entries with a higher one are newer
-	// here.
+	// Change is the number of this roster's change that last updated the entry;
+	// higher numbers are newer.
 	Change uint64
-	// Material is the change that last said more than that it lives.
+	// Material is the number of the last change that reported more than that the
+	// server is alive.
 	Material uint64
-	// changedAt is the time of Change.
+	// changedAt is when the change with the number Change was made.
 	changedAt time.Time
 }
 
 // Roster holds the servers by ID.
 type Roster struct {
 	entries map[string]*Entry
-	// addresses are the IDs that were heard of at each address.
+	// addresses maps each address to the IDs of the entries with that address.
 	addresses map[string][]string
 	change    uint64
-	// material is the newest change that said more than that a server lives.
+	// material is the number of the newest change that reported more than that a
+	// server is alive.
 	material uint64
 }
 
@@ -87,24 +94,25 @@
 	return &Roster{entries: make(map[string]*Entry), addresses: make(map[string][]string)}
 }
 
-// Take considers an announcement. news is true when it is the newest of its
-// server, material when it says more than that the server lives.
+// Take applies an announcement. news reports whether it is the newest one of its
+// server, material whether it contains more than that the server is alive.
 //
-// A heartbeat that a partition held up may arrive after its sender crashed and
-// another incarnation registered at the address: the older birth marks it, and
-// it must not bring a dead server back to the address.
+// A heartbeat that was delayed by a partition may arrive after its sender crashed
+// and another incarnation registered at the address. Its earlier start time
+// identifies it, and it must not list the dead server again.
 func (r *Roster) Take(s Server, now time.Time) (news, material bool) {
 	known, ok := r.entries[s.ID]
 	if ok && !s.newer(&known.Server) {
 		return false, false
 	}
-	if r.outlived(&s) {
+	if r.superseded(&s) {
 		if !ok {
 			return false, false
 		}
 		s.Gone = true
 	}
-	// Leaving is final for an incarnation, also for a late reader.
+	// Leaving is final for an incarnation, even if announcements arrive out of
+	// order.
 	if ok && known.Born == s.Born {
 		s.Leaving = s.Leaving || known.Leaving
 	}
@@ -113,7 +121,7 @@
 	entry := &Entry{Server: s, Heard: now}
 	switch {
 	case material:
-		r.mark(entry, now)
+		r.recordMaterial(entry, now)
 	case now.Sub(known.changedAt) < beatInterval:
 		entry.Change, entry.Material, entry.changedAt = known.Change, known.Material, known.changedAt
 	default:
@@ -127,8 +135,8 @@
 	return true, material
 }
 
-// Hear takes a beat. missing is true when the incarnation is not known here, so
-// that a beat cannot say what it is.
+// Hear applies a heartbeat. missing reports whether the incarnation is unknown to
+// this daemon, which then needs its full announcement.
 func (r *Roster) Hear(b Beat, now time.Time) (missing bool) {
 	known, ok := r.entries[b.ID]
 	if !ok || known.Born < b.Born {
@@ -139,10 +147,11 @@
 	}
 	s := known.Server
 	s.Sequence = b.Sequence
-	// What was said of the time until it is warm was said then.
+	// ColdMillis was relative to the time of the last announcement.
 	s.ColdMillis = max(s.ColdMillis-now.Sub(known.Heard).Milliseconds(), 0)
 	if _, material := r.Take(s, now); !material {
-		// Whoever told it has waited already, and others wait for this one.
+		// The sender has already limited the rate of heartbeats, and other
+		// daemons depend on this one to forward them.
 		r.change++
 		e := r.entries[b.ID]
 		e.Change, e.changedAt = r.change, now
@@ -150,17 +159,17 @@
 	return false
 }
 
-// mark counts a change that says more than that the server lives.
-func (r *Roster) mark(e *Entry, now time.Time) {
+// recordMaterial records a change that reports more than that the server is alive.
+func (r *Roster) recordMaterial(e *Entry, now time.Time) {
 	r.change++
 	r.material = r.change
 	e.Change, e.Material, e.changedAt = r.change, r.change, now
 }
 
-// put stores an entry and finds it by its address.
+// put stores an entry and indexes it by its address.
 func (r *Roster) put(e *Entry) {
-	if before := r.entries[e.ID]; before != nil && before.Address != e.Address {
-		r.forgetAddress(before)
+	if old := r.entries[e.ID]; old != nil && old.Address != e.Address {
+		r.forgetAddress(old)
 	}
 	r.entries[e.ID] = e
 	if ids := r.addresses[e.Address]; !slices.Contains(ids, e.ID) {
@@ -177,8 +186,9 @@
 	r.addresses[e.Address] = ids
 }
 
-// outlived is true when a later born server was heard of at the address.
-func (r *Roster) outlived(s *Server) bool {
+// superseded reports whether a server with a later start time is known at the
+// address.
+func (r *Roster) superseded(s *Server) bool {
 	for _, id := range r.addresses[s.Address] {
 		if id != s.ID && r.entries[id].Born > s.Born {
 			return true
@@ -187,19 +197,19 @@
 	return false
 }
 
-// replaceAt marks earlier incarnations at the address of s as gone: two
-// processes cannot listen there.
+// replaceAt marks earlier incarnations at the address of s as gone, because two
+// processes cannot listen on the same address.
 func (r *Roster) replaceAt(s *Server, now time.Time) {
 	for _, id := range r.addresses[s.Address] {
 		if e := r.entries[id]; id != s.ID && e.Born < s.Born && !e.Gone {
 			e.Gone = true
-			r.mark(e, now)
+			r.recordMaterial(e, now)
 		}
 	}
 }
 
-// Leave marks a server as gone for good, and reports whether it was known to
-// be there.
+// Leave marks a server as gone permanently. It reports whether the server was
+// known.
 func (r *Roster) Leave(id string, now time.Time) (Server, bool) {
 	e, ok := r.entries[id]
 	if !ok {
@@ -207,19 +217,20 @@
 	}
 	if !e.Gone {
 		e.Gone, e.Leaving, e.Heard = true, true, now
-		r.mark(e, now)
+		r.recordMaterial(e, now)
 	}
 	return e.Server, true
 }
 
-// Change is the number of the last change.
+// Change returns the number of the last change.
 func (r *Roster) Change() uint64 { return r.change }
 
-// Material is the number of the last change of what servers there are and what
-// they are.
+// Material returns the number of the last change that reported more than that a
+// server is alive.
 func (r *Roster) Material() uint64 { return r.material }
 
-// Since lists the entries that changed after a number, in order of change.
+// Since returns the entries that changed after the change with the given number,
+// in order of change.
 func (r *Roster) Since(change uint64) []Entry {
 	var changed []Entry
 	for _, e := range r.entries {
@@ -231,7 +242,7 @@
 	return changed
 }
 
-// Get returns one server.
+// Get returns the server with the given ID, and whether it is known.
 func (r *Roster) Get(id string) (Entry, bool) {
 	e, ok := r.entries[id]
 	if !ok {
@@ -240,8 +251,8 @@
 	return *e, true
 }
 
-// Expire forgets gone servers that were last heard of before gone, and others
-// before silent.
+// Expire removes gone servers that were last heard of before gone, and other
+// servers that were last heard of before silent.
 func (r *Roster) Expire(gone, silent time.Time) {
 	for id, e := range r.entries {
 		limit := silent
@@ -260,7 +271,7 @@
 	}
 }
 
-// Forget drops a server of which nothing is known for sure.
+// Forget removes a server whose state is uncertain.
 func (r *Roster) Forget(id string) {
 	if e, ok := r.entries[id]; ok {
 		r.change++
@@ -270,7 +281,7 @@
 	}
 }
 
-// Serving lists the servers of a service that are not known to leave.
+// Serving returns the servers that are neither leaving nor gone, sorted by ID.
 func (r *Roster) Serving() []Entry {
 	var serving []Entry
 	for _, e := range r.entries {
--- a/coord/roster/roster_test.go
+++ b/coord/roster/roster_test.go
@@ -9,17 +9,17 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// A heartbeat hangs behind a partition while its sender crashes and another
-// server registers at the address. When it arrives at last, requests must not
-// go to a server that is no more.
-func TestALateHeartbeatDoesNotBringADeadServerBack(t *testing.T) {
+// A heartbeat is delayed by a partition while its sender crashes and another
+// server registers at the address. When the heartbeat arrives, requests must not
+// go to the server that has crashed.
+func TestLateHeartbeatDoesNotReviveServer(t *testing.T) {
 	r := New()
 	r.Take(Server{ID: "old", Born: 100, Sequence: 3, Address: "a:1"}, start)
 	r.Take(Server{ID: "new", Born: 200, Sequence: 1, Address: "a:1"}, start)
 	if news, _ := r.Take(Server{ID: "old", Born: 100, Sequence: 4, Address: "a:1"}, start); news {
 		e, _ := r.Get("old")
 		if !e.Gone {
-			t.Error("the late heartbeat brought the old server back")
+			t.Error("the late heartbeat revived the old server")
 		}
 	}
 	if serving := r.Serving(); len(serving) != 1 || serving[0].ID != "new" {
@@ -27,18 +27,19 @@
 	}
 }
 
-// The address may also be new to this daemon when the late heartbeat comes.
-func TestALateHeartbeatOfAnUnknownServerIsNotTaken(t *testing.T) {
+// The daemon does not know the old server at the address when the late heartbeat
+// arrives.
+func TestLateHeartbeatOfUnknownServerIsIgnored(t *testing.T) {
 	r := New()
 	r.Take(Server{ID: "new", Born: 200, Sequence: 1, Address: "a:1"}, start)
 	if news, _ := r.Take(Server{ID: "old", Born: 100, Sequence: 9, Address: "a:1"}, start); news {
-		t.Error("a server that was outlived at its address was taken")
+		t.Error("a server that was superseded at its address was accepted")
 	}
 }
 
-// A server says that it leaves, and a heartbeat that it sent before arrives
-// behind that. Work that is sent to it after its notice would be cut off.
-func TestLeavingIsFinalForAnIncarnation(t *testing.T) {
+// A server announces that it is leaving, and a heartbeat that it sent earlier
+// arrives afterwards. Work that is sent to it after its notice would be aborted.
+func TestLeavingIsFinalForIncarnation(t *testing.T) {
 	r := New()
 	r.Take(Server{ID: "s", Born: 1, Sequence: 5, Address: "a:1", Leaving: true}, start)
 	r.Take(Server{ID: "s", Born: 1, Sequence: 4, Address: "a:1"}, start)
@@ -48,13 +49,13 @@
 	}
 	r.Take(Server{ID: "s", Born: 2, Sequence: 1, Address: "a:1"}, start)
 	if len(r.Serving()) != 1 {
-		t.Error("the same id, born later, is not served")
+		t.Error("the same ID with a later start time is not served")
 	}
 }
 
-// Announcements reach daemons in any order. All that have heard the same must
-// send requests to the same servers.
-func TestTheOrderOfArrivalDoesNotMatter(t *testing.T) {
+// Announcements reach daemons in any order. All daemons that have received the
+// same announcements must send requests to the same servers.
+func TestArrivalOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		announcements := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Server {
 			return Server{
@@ -62,8 +63,8 @@
 				Sequence: rapid.Int64Range(1, 5).Draw(t, "sequence"), Address: "one:1",
 			}
 		}), 1, 8).Draw(t, "announcements")
-		// What one incarnation says is the same wherever it is heard, and two
-		// servers at one address have different births.
+		// An incarnation's announcement is the same at every daemon, and two
+		// servers at one address have different start times.
 		for i := range announcements {
 			s := &announcements[i]
 			s.Born *= 2
@@ -91,20 +92,20 @@
 	})
 }
 
-func TestOnlyNewsAreListed(t *testing.T) {
+func TestSinceListsOnlyChanges(t *testing.T) {
 	r := New()
 	r.Take(Server{ID: "a", Born: 1, Sequence: 1, Address: "a:1"}, start)
 	r.Take(Server{ID: "b", Born: 1, Sequence: 1, Address: "b:1"}, start)
 	seen, material := r.Change(), r.Material()
 	soon, later := start.Add(beatInterval-1), start.Add(beatInterval)
 	if _, material := r.Take(Server{ID: "a", Born: 1, Sequence: 2, Address: "a:1"}, soon); material {
-		t.Error("a heartbeat that says nothing new counts as material")
+		t.Error("a heartbeat without news counts as material")
 	}
 	if changed := r.Since(seen); len(changed) != 0 {
-		t.Errorf("a heartbeat soon after the one before is listed as news: %v", changed)
+		t.Errorf("a heartbeat soon after the previous one is listed as a change: %v", changed)
 	}
 	if e, _ := r.Get("a"); !e.Heard.Equal(soon) || e.Sequence != 2 {
-		t.Errorf("the heartbeat left %+v, want it taken all the same", e)
+		t.Errorf("after the heartbeat: %+v, want it applied nevertheless", e)
 	}
 	r.Take(Server{ID: "a", Born: 1, Sequence: 3, Address: "a:1"}, later)
 	changed := r.Since(seen)
@@ -112,20 +113,20 @@
 		t.Errorf("since %d changed %v, want a's heartbeat, not material", seen, changed)
 	}
 	if r.Material() != material {
-		t.Error("heartbeats moved the number of the last material change")
+		t.Error("heartbeats changed the number of the last material change")
 	}
 	if server, known := r.Leave("b", later); !known || !server.Gone {
-		t.Errorf("Leave gave %v, %v", server, known)
+		t.Errorf("Leave returned %v, %v", server, known)
 	}
 	if changed = r.Since(seen + 1); len(changed) != 1 || changed[0].Material <= seen || r.Material() != r.Change() {
-		t.Errorf("changed are %v, want b's leave, material", changed)
+		t.Errorf("changed are %v, want the material change of b leaving", changed)
 	}
 }
 
-// Other daemons hear of most heartbeats only that the server lives. That must
-// keep it listed, and must neither revive an ended incarnation nor pass for an
-// announcement of one that is not known.
-func TestABeatKeepsAServerListed(t *testing.T) {
+// Most heartbeats reach other daemons only as a Beat. It must keep the server
+// listed, must not revive a terminated incarnation, and must not count as the
+// announcement of an unknown one.
+func TestBeatKeepsServerListed(t *testing.T) {
 	r := New()
 	r.Take(Server{ID: "a", Born: 2, Sequence: 4, Address: "a:1", ColdMillis: 3000}, start)
 	now := start.Add(time.Second)
@@ -135,46 +136,46 @@
 		missing  bool
 		sequence int64
 	}{
-		{"a later one", Beat{ID: "a", Born: 2, Sequence: 5}, false, 5},
-		{"a late one", Beat{ID: "a", Born: 2, Sequence: 3}, false, 5},
+		{"newer", Beat{ID: "a", Born: 2, Sequence: 5}, false, 5},
+		{"delayed", Beat{ID: "a", Born: 2, Sequence: 3}, false, 5},
 		{"of an earlier incarnation", Beat{ID: "a", Born: 1, Sequence: 9}, false, 5},
 		{"of a later incarnation", Beat{ID: "a", Born: 3, Sequence: 1}, true, 5},
-		{"of a server that is not known", Beat{ID: "b", Born: 1, Sequence: 1}, true, 5},
+		{"of an unknown server", Beat{ID: "b", Born: 1, Sequence: 1}, true, 5},
 	}
 	for _, test := range tests {
 		if missing := r.Hear(test.beat, now); missing != test.missing {
 			t.Errorf("%s: missing = %v", test.name, missing)
 		}
 		if e, _ := r.Get("a"); e.Sequence != test.sequence || e.Born != 2 {
-			t.Errorf("%s left %+v", test.name, e)
+			t.Errorf("%s: entry is %+v", test.name, e)
 		}
 	}
 	if e, _ := r.Get("a"); !e.Heard.Equal(now) || e.ColdMillis != 2000 {
-		t.Errorf("the beat left %+v, want it heard now and cold for 2 s more", e)
+		t.Errorf("after the beat: %+v, want it heard now and cold for 2 s more", e)
 	}
 	r.Leave("a", now)
 	r.Hear(Beat{ID: "a", Born: 2, Sequence: 8}, now)
 	if len(r.Serving()) != 0 {
-		t.Error("a beat brought back a server that had left")
+		t.Error("a beat revived a server that had left")
 	}
 }
 
-func TestAServerThatFellSilentIsAMaterialChange(t *testing.T) {
+func TestExpiryIsMaterialChange(t *testing.T) {
 	r := New()
 	r.Take(Server{ID: "a", Born: 1, Sequence: 1, Address: "a:1"}, start)
 	before := r.Material()
 	r.Expire(start, start.Add(time.Second))
 	if len(r.Serving()) != 0 || r.Material() == before {
-		t.Error("those who follow material changes still send to the silent server")
+		t.Error("the expiry of a silent server is not a material change")
 	}
 }
 
-func TestSilentServersAreForgotten(t *testing.T) {
+func TestSilentServersExpire(t *testing.T) {
 	r := New()
 	r.Take(Server{ID: "quiet", Born: 1, Address: "a:1"}, start)
 	r.Take(Server{ID: "alive", Born: 1, Address: "b:1"}, start.Add(10*time.Second))
 	r.Expire(start, start.Add(5*time.Second))
 	if serving := r.Serving(); len(serving) != 1 || serving[0].ID != "alive" {
-		t.Errorf("serving are %v, want the one that was heard", serving)
+		t.Errorf("serving are %v, want only the server that was heard", serving)
 	}
 }
