--- a/coord/founding/founding.go
+++ b/coord/founding/founding.go
@@ -1,10 +1,11 @@
-// Package founding decides who founds the replicated log when all processes of
-// a deployment start at once and know no more than a few seeds.
+// Package founding decides which process bootstraps the replicated log when all
+// processes of a deployment start at the same time and know only a few seeds.
 //
-// Exactly one may found. Everyone greets all seeds, and each seed lists whom it
-// has heard of, so that the seeds' lists together hold every process that has
-// greeted. The process with a disk and the lowest address founds, once every
-// seed has answered and nobody belongs to a log.
+// Exactly one process may found the log. Every process greets all seeds, and each
+// seed lists the processes that it has heard of, so that the lists of the seeds
+// together contain every process that has sent a greeting. The process with the
+// lowest address among those with a disk founds the log, once every seed has
+// answered and no known process belongs to a log.
 package founding
 
 import (
@@ -13,44 +14,45 @@
 	"github.com/rosemarypass/rosemarypass/coord/overlay"
 )
 
-// MostMembers bounds the log: each change costs its leader a message to every
-// member. It is the number of instances that the design size sets aside for
-// control; 9 voters bear the loss of 4.
+// MostMembers is the maximum number of members of the log: each change costs its
+// leader a message to every member. It is the number of instances that the design
+// size reserves for control; 9 voters tolerate the loss of 4.
 const MostMembers = 9
 
-// Settle is how long a process waits after it has opened its disk, so that the
-// others have heard of it and it of them: all processes start within some hundred
-// milliseconds, and a greeting takes one exchange. Disks may take longer to open;
-// until then others see a process without one.
+// Settle is how long a process waits after it has opened its disk, so that all
+// processes have heard of each other: they start within a few hundred
+// milliseconds, and a greeting takes one round trip. Opening the disk may take
+// longer; until then the others see a process without a disk.
 const Settle = 1500 * time.Millisecond
 
-// Process is one process as its greeting described it.
+// Process describes a process, as given in its greeting.
 type Process struct {
 	Address    string
 	DataCentre string
-	// Disk is true when it can hold the log.
+	// Disk reports whether the process can store the log.
 	Disk bool
-	// Member is its identity in a log.
+	// Member is the process's member ID in a log.
 	Member string
-	// Cluster is the log that it belongs to, empty while it belongs to none.
+	// Cluster identifies the log to which the process belongs; empty if none.
 	Cluster string
 }
 
-// View is what the process that decides knows.
+// View is the information on which a process bases its decision.
 type View struct {
 	Self Process
-	// Bootstrap is true at the deployment's first start only.
+	// Bootstrap is true only at the first start of the deployment.
 	Bootstrap bool
-	// Up is the time since the own disk was opened.
+	// Up is the time since the process opened its disk.
 	Up time.Duration
-	// SeedsSilent counts the seeds that have not answered yet.
+	// SeedsSilent is the number of seeds that have not answered yet.
 	SeedsSilent int
-	// Known are all processes that the own greetings and the seeds' lists told of.
+	// Known are all processes learned from answers to greetings and from the
+	// seeds' lists.
 	Known []Process
 }
 
-// Decide reports whether to found the log, and with whom: itself and others with
-// a disk, over all data centres alike.
+// Decide reports whether the process founds the log, and returns the founders:
+// the process itself and others with a disk, spread evenly over all data centres.
 func Decide(v View) (founders []Process, found bool) {
 	if !v.Bootstrap || !v.Self.Disk || v.Self.Cluster != "" || v.Up < Settle || v.SeedsSilent > 0 {
 		return nil, false
--- a/coord/founding/founding_test.go
+++ b/coord/founding/founding_test.go
@@ -18,22 +18,22 @@
 		if found {
 			founders = append(founders, self.Address)
 			if len(chosen) != 3 {
-				t.Errorf("%s founds with %v, want all three with a disk", self.Address, chosen)
+				t.Errorf("%s founds the log with %v, want all three with a disk", self.Address, chosen)
 			}
 		}
 	}
 	if len(founders) != 1 || founders[0] != "10.0.0.2:1" {
-		t.Errorf("founders are %v, want the lowest address with a disk alone", founders)
+		t.Errorf("founders are %v, want only the lowest address with a disk", founders)
 	}
 }
 
-// Each case must keep a second log from being founded beside the first: half of
-// the entries would follow one configuration and half another.
-func TestNobodyFoundsInDoubt(t *testing.T) {
+// In each case a second log could be founded in addition to the first. Half of
+// the entries would then follow one configuration and half another.
+func TestNoProcessFoundsUnlessCertain(t *testing.T) {
 	self := process("10.0.0.2:1", true)
 	ready := View{Self: self, Bootstrap: true, Up: Settle, Known: []Process{process("10.0.0.3:1", true)}}
 	if _, found := Decide(ready); !found {
-		t.Fatal("the process that may found does not")
+		t.Fatal("the process that may found the log does not")
 	}
 	member := process("10.0.0.3:1", true)
 	member.Cluster = "c"
@@ -45,8 +45,8 @@
 		{"no disk", func(v *View) { v.Self.Disk = false }},
 		{"just started", func(v *View) { v.Up = Settle - 1 }},
 		{"a seed is silent", func(v *View) { v.SeedsSilent = 1 }},
-		{"somebody belongs to a log", func(v *View) { v.Known = []Process{member} }},
-		{"it belongs to a log itself", func(v *View) { v.Self.Cluster = "c" }},
+		{"another process belongs to a log", func(v *View) { v.Known = []Process{member} }},
+		{"the process itself belongs to a log", func(v *View) { v.Self.Cluster = "c" }},
 		{"a lower address has a disk", func(v *View) { v.Known = []Process{process("10.0.0.1:1", true)} }},
 	}
 	for _, test := range tests {
@@ -54,15 +54,15 @@
 			v := ready
 			test.change(&v)
 			if _, found := Decide(v); found {
-				t.Error("it founds a log")
+				t.Error("the process founds a log")
 			}
 		})
 	}
 }
 
-// More machines have a disk than the log takes members. It must not grow with
-// the deployment, and must not stand in one data centre alone.
-func TestTheLogIsFoundedWithAFewOfAllDataCentres(t *testing.T) {
+// More machines have a disk than the log may have members. The log must not grow
+// with the deployment, and must not be in a single data centre.
+func TestFoundersAreBoundedAndSpread(t *testing.T) {
 	var all []Process
 	for i := range 40 {
 		p := process(fmt.Sprintf("10.0.%d.%02d:1", i/10, i%10), true)
@@ -79,12 +79,12 @@
 	}
 	for centre, n := range centres {
 		if len(centres) != 4 || n > MostMembers/2 {
-			t.Errorf("%d of the members stand in %s of %d data centres", n, centre, len(centres))
+			t.Errorf("%d of the members are in %s of %d data centres", n, centre, len(centres))
 		}
 	}
 }
 
-func TestAFullLogTakesOnlyThoseWhoReplaceAMember(t *testing.T) {
+func TestFullLogOnlyReplacesMembers(t *testing.T) {
 	m := Membership{Self: "0", Cluster: "c", Losses: 1}
 	for i := range MostMembers {
 		id := fmt.Sprint(i)
@@ -97,11 +97,11 @@
 	}
 	m.Known[1] = seen("1'", "a1", "", 0)
 	if got := NextChange(m); got != (Change{ChangeAdd, "1'", "a1"}) {
-		t.Errorf("next is %+v, want the member with the empty disk added anew", got)
+		t.Errorf("next is %+v, want the member with the empty disk added again", got)
 	}
-	m.Known[1] = seen("1", "a1", "c", lost+time.Second)
+	m.Known[1] = seen("1", "a1", "c", lostAfter+time.Second)
 	if got := NextChange(m); got != (Change{ChangeRemove, "1", "a1"}) {
-		t.Errorf("next is %+v, want the lost member removed, to make room", got)
+		t.Errorf("next is %+v, want the lost member removed", got)
 	}
 }
 
@@ -121,38 +121,38 @@
 	}
 }
 
-func TestTheMembershipFollowsWhoIsThere(t *testing.T) {
+func TestNextChange(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(*Membership)
 		want   Change
 	}{
-		{"all is well", func(*Membership) {}, Change{}},
+		{"all members run", func(*Membership) {}, Change{}},
 		{"one restarts", func(m *Membership) { m.Known[2].Silent = 5 * time.Second }, Change{}},
-		{"one came back with an empty disk", func(m *Membership) { m.Known[2] = seen("4'", "e", "", 0) }, Change{ChangeAdd, "4'", "e"}},
+		{"one returned with an empty disk", func(m *Membership) { m.Known[2] = seen("4'", "e", "", 0) }, Change{ChangeAdd, "4'", "e"}},
 		{"its learner has caught up", func(m *Membership) {
 			m.Known[2] = seen("4'", "e", "c", 0)
 			m.Members = append(m.Members, Member{ID: "4'", Address: "e", CaughtUp: true})
 		}, Change{ChangePromote, "4'", "e"}},
-		// The member that it was never votes again: without it a further loss is
-		// borne, with it none.
-		{"its learner lags, and the others bear a loss", func(m *Membership) {
+		// The former member never votes again. Without it the log tolerates a
+		// further loss, with it none.
+		{"its learner lags, and the others tolerate a loss", func(m *Membership) {
 			m.Known[2] = seen("4'", "e", "c", 0)
 			m.Members = append(m.Members, Member{ID: "4'", Address: "e"})
 		}, Change{ChangeRemove, "4", "e"}},
-		{"its learner lags, and the others bear none", func(m *Membership) {
+		{"its learner lags, and the others tolerate none", func(m *Membership) {
 			m.Known = []Seen{m.Known[0], seen("4'", "e", "c", 0)}
 			m.Members = []Member{m.Members[0], m.Members[1], m.Members[3], {ID: "4'", Address: "e"}}
 		}, Change{}},
-		{"the new member counts", func(m *Membership) {
+		{"the new member is a voter", func(m *Membership) {
 			m.Known[2] = seen("4'", "e", "c", 0)
 			m.Members = append(m.Members, voter("4'", "e"))
 		}, Change{ChangeRemove, "4", "e"}},
 		{"another machine was added", func(m *Membership) { m.Known = append(m.Known, seen("5", "f", "", 0)) }, Change{ChangeAdd, "5", "f"}},
-		{"a process of another log is near", func(m *Membership) { m.Known = append(m.Known, seen("5", "f", "other", 0)) }, Change{}},
-		{"one is gone for long", func(m *Membership) { m.Known[2].Silent = lost + time.Second }, Change{ChangeRemove, "4", "e"}},
-		{"two are gone for long", func(m *Membership) {
-			m.Known[1].Silent, m.Known[2].Silent = lost+time.Second, lost+time.Second
+		{"a process of another log is known", func(m *Membership) { m.Known = append(m.Known, seen("5", "f", "other", 0)) }, Change{}},
+		{"one is silent for longer than lostAfter", func(m *Membership) { m.Known[2].Silent = lostAfter + time.Second }, Change{ChangeRemove, "4", "e"}},
+		{"two are silent for longer than lostAfter", func(m *Membership) {
+			m.Known[1].Silent, m.Known[2].Silent = lostAfter+time.Second, lostAfter+time.Second
 		}, Change{}},
 	}
 	for _, test := range tests {
--- a/coord/founding/members.go
+++ b/coord/founding/members.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Member is a member of the log as its leader sees it.
+// Member is a member of the log as seen by the leader.
 type Member struct {
 	ID       string
 	Address  string
@@ -10,24 +10,25 @@
 	CaughtUp bool
 }
 
-// Seen is a process with the time since it was last heard.
+// Seen is a process with the time since it was last heard from.
 type Seen struct {
 	Process
 	Silent time.Duration
 }
 
-// Membership is what the leader knows.
+// Membership is the leader's knowledge of the members and processes.
 type Membership struct {
-	// Self is the leader's own member.
+	// Self is the leader's own member ID.
 	Self    string
 	Cluster string
-	// Losses is how many machines with a disk may be lost at once.
+	// Losses is the number of machines with a disk that may be lost at the same
+	// time.
 	Losses  int
 	Members []Member
 	Known   []Seen
 }
 
-// ChangeKind is what to do with a member.
+// ChangeKind is the kind of a membership change.
 type ChangeKind string
 
 const (
@@ -41,7 +42,7 @@
 	ChangeRemove ChangeKind = "remove"
 )
 
-// Change is one step.
+// Change is one change of the membership.
 type Change struct {
 	Kind    ChangeKind
 	Member  string
@@ -49,17 +50,18 @@
 }
 
 const (
-	// present is how long after its last word a process counts as there.
-	present = 1500 * time.Millisecond
-	// lost is how long a voter is silent before it is given up, if enough
-	// others stand: longer than a machine that restarts or is cut off usually
-	// takes to come back.
-	lost = 12 * time.Second
+	// presentWithin is how recently a process must have been heard from to count
+	// as presentWithin.
+	presentWithin = 1500 * time.Millisecond
+	// lostAfter is how long a voter must be silent before it is removed, provided
+	// that enough other voters are running. It is longer than a restarting or
+	// partitioned machine usually takes to return.
+	lostAfter = 12 * time.Second
 )
 
-// NextChange returns the next step towards a log of all present processes with
-// a disk. Members are added before others are removed, so that no step has
-// fewer copies than the one before.
+// NextChange returns the next change towards a membership of all present
+// processes with a disk. Members are added before others are removed, so that no
+// change reduces the number of copies.
 func NextChange(v Membership) Change {
 	if c := v.promote(); c.Kind != ChangeNone {
 		return c
@@ -82,8 +84,8 @@
 	return Change{}
 }
 
-// removeReplaced removes members whose process came back with an empty disk:
-// the process at their address is another member now, and counts already.
+// removeReplaced removes a member whose process restarted with an empty disk: the
+// process at its address is now a different member, which is already a voter.
 func (v *Membership) removeReplaced() Change {
 	for _, m := range v.Members {
 		if m.ID == v.Self {
@@ -98,13 +100,14 @@
 	return Change{}
 }
 
-// runs is true when the process that is heard is this member.
+// runs reports whether the member is the leader itself or a process that was
+// heard from recently.
 func (v *Membership) runs(id string) bool {
 	if id == v.Self {
 		return true
 	}
 	for _, s := range v.Known {
-		if s.Member == id && s.Silent < present {
+		if s.Member == id && s.Silent < presentWithin {
 			return true
 		}
 	}
@@ -114,9 +117,9 @@
 func (v *Membership) add() Change {
 	learners := 0
 	known := make(map[string]bool, len(v.Members))
-	places := make(map[string]bool, len(v.Members))
+	addresses := make(map[string]bool, len(v.Members))
 	for _, m := range v.Members {
-		known[m.ID], places[m.Address] = true, true
+		known[m.ID], addresses[m.Address] = true, true
 		if !m.Voter {
 			learners++
 		}
@@ -125,11 +128,12 @@
 		return Change{}
 	}
 	for _, s := range v.Known {
-		if !s.Disk || known[s.Member] || s.Silent > present || s.Cluster != "" && s.Cluster != v.Cluster {
+		if !s.Disk || known[s.Member] || s.Silent > presentWithin || s.Cluster != "" && s.Cluster != v.Cluster {
 			continue
 		}
-		// One that came back with an empty disk takes its own former place.
-		if len(v.Members) >= MostMembers && !places[s.Address] {
+		// A process that restarted with an empty disk replaces its former member
+		// even if the log is full.
+		if len(v.Members) >= MostMembers && !addresses[s.Address] {
 			continue
 		}
 		return Change{Kind: ChangeAdd, Member: s.Member, Address: s.Address}
@@ -137,8 +141,8 @@
 	return Change{}
 }
 
-// removeLost gives up a member that has been silent for long. The voters that
-// are left must bear the losses that the deployment names, and all be there.
+// removeLost removes a member that has been silent for longer than lostAfter. It
+// does so only if enough voters are running to tolerate the deployment's Losses.
 func (v *Membership) removeLost() Change {
 	running := 0
 	for _, m := range v.Members {
@@ -150,20 +154,21 @@
 		return Change{}
 	}
 	for _, m := range v.Members {
-		if !v.runs(m.ID) && v.silent(m) > lost {
+		if !v.runs(m.ID) && v.silent(m) > lostAfter {
 			return Change{Kind: ChangeRemove, Member: m.ID, Address: m.Address}
 		}
 	}
 	return Change{}
 }
 
-// silent is how long a member has not been heard; one that was never heard
-// counts as silent for long.
+// silent returns the time since a member was last heard from. It is longer than
+// lostAfter if the process at the member's address is a different member, and 0 if
+// no process is known at that address.
 func (v *Membership) silent(m Member) time.Duration {
 	for _, s := range v.Known {
 		if s.Address == m.Address {
 			if s.Member != m.ID {
-				return lost + 1
+				return lostAfter + 1
 			}
 			return s.Silent
 		}
