--- a/coord/route/check.go
+++ b/coord/route/check.go
@@ -6,26 +6,27 @@
 	"github.com/pkg/errors"
 )
 
-// maxSplitWeight bounds the sum of a split's weights, so that it cannot overflow.
+// maxSplitWeight is the maximum sum of a split's weights; the bound prevents an
+// overflow.
 const maxSplitWeight = 1 << 30
 
-// Check returns why a document cannot be in force, nil when it can.
+// Check returns an error if the document is not a valid configuration.
 func (d *Document) Check() error {
 	services, err := d.checkServices()
 	if err != nil {
 		return err
 	}
-	places := make(map[[2]string]string, len(d.Routes))
+	seen := make(map[[2]string]string, len(d.Routes))
 	for i := range d.Routes {
 		r := &d.Routes[i]
 		if err := r.check(services); err != nil {
 			return errors.Wrapf(err, "route %q", r.Name)
 		}
-		place := [2]string{r.Host, r.Prefix}
-		if other, taken := places[place]; taken {
+		key := [2]string{r.Host, r.Prefix}
+		if other, taken := seen[key]; taken {
 			return errors.Errorf("routes %q and %q have the same host and prefix", other, r.Name)
 		}
-		places[place] = r.Name
+		seen[key] = r.Name
 	}
 	return nil
 }
--- a/coord/route/route_test.go
+++ b/coord/route/route_test.go
@@ -13,7 +13,7 @@
 	return Route{Name: name, Host: host, Prefix: prefix, Kind: KindSafe, Timeout: time.Second, Split: []Share{{Service: "desk", Weight: 1}}}
 }
 
-func TestADocumentIsCheckedWhole(t *testing.T) {
+func TestDocumentCheck(t *testing.T) {
 	changed := func(f func(*Route)) *Document {
 		r := valid("a", "h", "/a/")
 		f(&r)
@@ -39,13 +39,13 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if err := test.document.Check(); (err == nil) != test.ok {
-				t.Errorf("Check gave %v, want ok = %v", err, test.ok)
+				t.Errorf("Check returned %v, want ok = %v", err, test.ok)
 			}
 		})
 	}
 }
 
-func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
+func TestLookupUsesLongestPrefix(t *testing.T) {
 	table := NewTable(document(valid("short", "h", "/a/"), valid("long", "h", "/a/b/"), valid("other", "i", "/a/b/c/")))
 	tests := []struct{ host, path, want string }{
 		{"h", "/a/x", "short"},
@@ -62,12 +62,12 @@
 			got = r.Name
 		}
 		if got != test.want {
-			t.Errorf("Lookup(%q, %q) gave %q, want %q", test.host, test.path, got, test.want)
+			t.Errorf("Lookup(%q, %q) = %q, want %q", test.host, test.path, got, test.want)
 		}
 	}
 }
 
-func TestSplitsFollowTheirWeights(t *testing.T) {
+func TestPickFollowsWeights(t *testing.T) {
 	r := Route{Split: []Share{{"a", 90}, {"none", 0}, {"b", 10}}}
 	counts := make(map[string]int)
 	const draws = 1000
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestOnlySafeAndResumableRequestsAreIdempotent(t *testing.T) {
+func TestIdempotent(t *testing.T) {
 	tests := []struct {
 		route Route
 		want  bool
--- a/coord/route/table.go
+++ b/coord/route/table.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Table answers which route a request takes. It is immutable.
+// Table looks up the route of a request. It is immutable.
 type Table struct {
 	document *Document
 	hosts    map[string][]*Route
@@ -29,20 +29,20 @@
 	return t
 }
 
-// Version is the document's.
+// Version returns the version of the document.
 func (t *Table) Version() uint64 { return t.document.Version }
 
-// Bounds limit what a caller may send.
+// Bounds returns the limits on what a caller may send.
 func (t *Table) Bounds() Bounds { return t.document.Bounds }
 
-// Service returns a service by name, nil when there is none.
+// Service returns the service with the given name, or nil if there is none.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Services lists all services.
+// Services returns all services.
 func (t *Table) Services() []Service { return t.document.Services }
 
-// Lookup returns the route of a host with the longest prefix that begins the
-// path, nil when there is none. A port in the host is passed over.
+// Lookup returns the route of the host with the longest prefix that matches the
+// path, or nil if there is none. A port in the host is ignored.
 func (t *Table) Lookup(host, path string) *Route {
 	if name, _, found := strings.Cut(host, ":"); found {
 		host = name
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// Pick returns the service of one request of the route; draw is uniform in
-// [0, 1).
+// Pick returns the service for one request of the route. draw is a random number,
+// uniform in [0, 1).
 func (r *Route) Pick(draw float64) string {
 	total := 0
 	for _, share := range r.Split {
