--- a/coord/retry/fate.go
+++ b/coord/retry/fate.go
@@ -2,19 +2,20 @@
 
 import "github.com/rosemarypass/rosemarypass/coord/outcome"
 
-// Fate is what is known of a request whose last attempt did not end well.
+// Fate describes a request whose last attempt failed.
 type Fate struct {
-	// Outcome is that of the last attempt.
+	// Outcome is the outcome of the last attempt.
 	Outcome    outcome.Outcome
 	Idempotent bool
-	// Attempts counts those that the request has had, Most bounds them.
+	// Attempts is the number of attempts so far, Most the maximum.
 	Attempts int
 	Most     int
 }
 
-// Refusal says why the request must not be offered to another server, whoever
-// would pay for it: one that may have run must not run twice unless it is
-// idempotent, and no request has more than its attempts.
+// Refusal returns the reason why the request must not be sent to another server,
+// independent of any retry budget, or ReasonNone. A request that may have run must
+// not run twice unless it is idempotent, and no request exceeds its maximum number
+// of attempts.
 func (f Fate) Refusal() Reason {
 	switch {
 	case f.Outcome != outcome.NotRun && !f.Idempotent:
--- a/coord/retry/retry.go
+++ b/coord/retry/retry.go
@@ -1,9 +1,10 @@
-// Package retry decides whether and when a request is offered to another
-// server. Retries are paid from budgets that first attempts fill, one for each
-// contract and one in total, so that a partial outage raises the load by a
-// fixed share at most and one customer's retries do not use up the others'.
+// Package retry decides whether and when a request is retried on another server.
+// Retries are taken from budgets that first attempts replenish, one for each
+// contract and one in total. A partial outage therefore increases the load by at
+// most a fixed fraction, and the retries of one customer do not exhaust those of
+// the others.
 //
-// Budget is pure: the caller passes the time and the random number.
+// Budget is deterministic: the caller passes the time and the random number.
 package retry
 
 import (
@@ -13,25 +14,26 @@
 	"github.com/rosemarypass/rosemarypass/coord/outcome"
 )
 
-// Limits bound retries.
+// Limits configures a Budget.
 type Limits struct {
-	// Attempts is the most attempts for one request, the first included.
+	// Attempts is the maximum number of attempts for one request, including the
+	// first.
 	Attempts int
-	// Ratio is how many retries each first attempt pays for.
+	// Ratio is the number of retries that each first attempt adds to the budgets.
 	Ratio float64
-	// PerContract and Total are the most retries that may be saved up.
+	// PerContract and Total are the capacities of the budgets, in retries.
 	PerContract float64
 	Total       float64
-	// Base is the longest pause before the first retry; it doubles with
-	// each further one up to Max.
+	// Base is the maximum pause before the first retry; it doubles with each
+	// further retry up to Max.
 	Base time.Duration
 	Max  time.Duration
 }
 
-// DefaultLimits suit servers that answer within a second or two.
+// DefaultLimits are suitable for servers that answer within one or two seconds.
 var DefaultLimits = Limits{Attempts: 3, Ratio: 0.2, PerContract: 10, Total: 100, Base: 20 * time.Millisecond, Max: 500 * time.Millisecond}
 
-// Ended is what became of one attempt.
+// Ended describes an attempt that has ended.
 type Ended struct {
 	Contract string
 	// Attempt counts from 1.
@@ -39,31 +41,32 @@
 	Outcome    outcome.Outcome
 	Idempotent bool
 	Now        time.Time
-	// Deadline is the caller's; zero when it has none.
+	// Deadline is the caller's deadline; zero if there is none.
 	Deadline time.Time
 	// Jitter is a random number in [0, 1).
 	Jitter float64
 }
 
-// Reason says why a request is not offered again.
+// Reason is why a request is not retried.
 type Reason string
 
 const (
-	// ReasonNone means that it is offered again.
+	// ReasonNone means that the request is retried.
 	ReasonNone Reason = ""
-	// ReasonMayHaveRun means that it must not run twice.
+	// ReasonMayHaveRun means that the request may have run and is not idempotent.
 	ReasonMayHaveRun Reason = "may_have_run"
-	// ReasonAttempts means that it had its attempts.
+	// ReasonAttempts means that the maximum number of attempts is reached.
 	ReasonAttempts Reason = "attempts"
-	// ReasonDeadline means that the caller would no longer wait for it.
+	// ReasonDeadline means that the retry would start at or after the caller's
+	// deadline.
 	ReasonDeadline Reason = "deadline"
-	// ReasonContractBudget means that its contract has no retry saved up.
+	// ReasonContractBudget means that the contract's budget is exhausted.
 	ReasonContractBudget Reason = "contract_budget"
-	// ReasonTotalBudget means that nobody has.
+	// ReasonTotalBudget means that the total budget is exhausted.
 	ReasonTotalBudget Reason = "total_budget"
 )
 
-// Decision answers Ended.
+// Decision is the result of Next.
 type Decision struct {
 	Again bool
 	// After is the pause before the next attempt.
@@ -71,21 +74,21 @@
 	Reason Reason
 }
 
-// Budget holds the saved-up retries. It is not safe for concurrent use.
+// Budget holds the retry budgets. It is not safe for concurrent use.
 type Budget struct {
 	limits Limits
-	// total and spent count what is missing from full budgets; a contract
-	// that misses nothing has no entry.
+	// total and spent are the amounts missing from the full budgets; a contract
+	// with a full budget has no entry.
 	total float64
 	spent map[string]float64
 }
 
-// NewBudget returns full budgets.
+// NewBudget returns a Budget in which all budgets are full.
 func NewBudget(limits Limits) *Budget {
 	return &Budget{limits: limits, spent: make(map[string]float64)}
 }
 
-// Began pays in for a first attempt.
+// Began replenishes the budgets for a first attempt.
 func (b *Budget) Began(contract string) {
 	b.total = math.Max(0, b.total-b.limits.Ratio)
 	left, spent := b.spent[contract]
@@ -99,7 +102,7 @@
 	b.spent[contract] = left
 }
 
-// Next decides about another attempt and pays for it.
+// Next decides whether the request is retried and takes the retry from the budgets.
 func (b *Budget) Next(e Ended) Decision {
 	if reason := b.refusal(e); reason != ReasonNone {
 		return Decision{Reason: reason}
@@ -128,8 +131,8 @@
 	}
 }
 
-// pause is a random part of a window that doubles: without it the requests of
-// a dead server would arrive at the next one together.
+// pause returns a random part of a window that doubles with each attempt. Without
+// jitter the requests of a failed server would reach the next one simultaneously.
 func (b *Budget) pause(e Ended) time.Duration {
 	window := b.limits.Base << min(e.Attempt-1, 30)
 	if window > b.limits.Max || window <= 0 {
--- a/coord/retry/retry_test.go
+++ b/coord/retry/retry_test.go
@@ -20,7 +20,7 @@
 	}{
 		{"may have run", retry.Ended{Attempt: 1, Outcome: outcome.Unknown}, retry.Decision{Reason: retry.ReasonMayHaveRun}},
 		{"not run", retry.Ended{Attempt: 1, Outcome: outcome.NotRun}, retry.Decision{Again: true}},
-		{"repeatable", retry.Ended{Attempt: 1, Idempotent: true, Jitter: 0.5}, retry.Decision{Again: true, After: 5 * time.Millisecond}},
+		{"idempotent", retry.Ended{Attempt: 1, Idempotent: true, Jitter: 0.5}, retry.Decision{Again: true, After: 5 * time.Millisecond}},
 		{"longer pause, bounded", retry.Ended{Attempt: 2, Idempotent: true, Jitter: 0.5}, retry.Decision{Again: true, After: 7500 * time.Microsecond}},
 		{"last attempt", retry.Ended{Attempt: 3, Idempotent: true}, retry.Decision{Reason: retry.ReasonAttempts}},
 		{"past the deadline", retry.Ended{Attempt: 1, Idempotent: true, Jitter: 0.5, Deadline: now.Add(5 * time.Millisecond)}, retry.Decision{Reason: retry.ReasonDeadline}},
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestBudgetsAreSeparateAndRefilled(t *testing.T) {
+func TestBudgetsAreSeparateAndReplenished(t *testing.T) {
 	budget := retry.NewBudget(retry.Limits{Attempts: 3, Ratio: 0.5, PerContract: 2, Total: 3})
 	next := func(contract string) retry.Reason {
 		return budget.Next(retry.Ended{Contract: contract, Attempt: 1, Idempotent: true, Now: now}).Reason
@@ -57,33 +57,33 @@
 	}
 }
 
-// Half of the servers die at once, and those that are left cannot carry the
-// whole load. Naive retries multiply that load just then, and callers who
-// would have been served are refused too.
-func TestRetriesDoNotStormWhenHalfTheServersDie(t *testing.T) {
+// Half of the servers fail at once, and the remaining ones cannot serve the whole
+// load. Naive retries multiply the load in this situation, so that requests are
+// refused that would otherwise have been served.
+func TestBudgetPreventsRetryStorm(t *testing.T) {
 	naive := storm(func(_ int, attempt int, _ *rand.Rand) bool { return attempt < 6 })
 	budget := retry.NewBudget(retry.DefaultLimits)
-	ours := storm(func(_ int, attempt int, random *rand.Rand) bool {
+	budgeted := storm(func(_ int, attempt int, random *rand.Rand) bool {
 		if attempt == 0 {
 			budget.Began("c")
 			return true
 		}
 		return budget.Next(retry.Ended{Contract: "c", Attempt: attempt, Idempotent: true, Now: now, Jitter: random.Float64()}).Again
 	})
-	t.Logf("attempts per request: ours %.2f, naive %.2f", ours, naive)
-	if most := 1 + retry.DefaultLimits.Ratio + retry.DefaultLimits.PerContract/stormRequests; ours > most {
-		t.Errorf("%.3f attempts per request, more than the budget's %.3f", ours, most)
+	t.Logf("attempts per request: with budget %.2f, naive %.2f", budgeted, naive)
+	if limit := 1 + retry.DefaultLimits.Ratio + retry.DefaultLimits.PerContract/stormRequests; budgeted > limit {
+		t.Errorf("%.3f attempts per request, more than the budget's %.3f", budgeted, limit)
 	}
-	if naive < 2*ours {
-		t.Errorf("naive retries make %.2f attempts per request: the storm is missing", naive)
+	if naive < 2*budgeted {
+		t.Errorf("naive retries make %.2f attempts per request, too few for a retry storm", naive)
 	}
 }
 
 const stormRequests = 20_000
 
-// storm sends requests to 20 servers of which 10 are dead and 10 take 60 in
-// each step of 1000 requests, and returns the attempts per request.
-func storm(again func(request, attempt int, random *rand.Rand) bool) float64 {
+// storm sends requests to 20 servers, of which 10 have failed and 10 accept 60
+// requests in each step of 1000, and returns the attempts per request.
+func storm(proceed func(request, attempt int, random *rand.Rand) bool) float64 {
 	random := rand.New(rand.NewPCG(3, 5))
 	attempts := 0
 	var taken [20]int
@@ -91,7 +91,7 @@
 		if request%1000 == 0 {
 			taken = [20]int{}
 		}
-		for attempt := 0; again(request, attempt, random); attempt++ {
+		for attempt := 0; proceed(request, attempt, random); attempt++ {
 			attempts++
 			server := random.IntN(20)
 			if server >= 10 && taken[server] < 60 {
@@ -103,9 +103,9 @@
 	return float64(attempts) / stormRequests
 }
 
-// Both edges ask this of an attempt that failed. A wrong answer runs a booking twice, or gives up a read that another
-// server would have answered.
-func TestWhetherARequestMayBeOfferedAgain(t *testing.T) {
+// Both edges call Refusal for an attempt that failed. A wrong result runs a booking twice, or abandons a read that
+// another server would have answered.
+func TestRefusal(t *testing.T) {
 	tests := []struct {
 		name string
 		fate retry.Fate
@@ -114,8 +114,8 @@
 		{"a booking that did not run", retry.Fate{Outcome: outcome.NotRun, Attempts: 1, Most: 2}, retry.ReasonNone},
 		{"a booking that may have run", retry.Fate{Outcome: outcome.Unknown, Attempts: 1, Most: 2}, retry.ReasonMayHaveRun},
 		{"a read that may have run", retry.Fate{Outcome: outcome.Unknown, Idempotent: true, Attempts: 1, Most: 2}, retry.ReasonNone},
-		{"a read that had its attempts", retry.Fate{Outcome: outcome.Unknown, Idempotent: true, Attempts: 2, Most: 2}, retry.ReasonAttempts},
-		{"a booking that had its attempts and never ran", retry.Fate{Outcome: outcome.NotRun, Attempts: 2, Most: 2}, retry.ReasonAttempts},
+		{"a read without attempts left", retry.Fate{Outcome: outcome.Unknown, Idempotent: true, Attempts: 2, Most: 2}, retry.ReasonAttempts},
+		{"a booking that never ran, without attempts left", retry.Fate{Outcome: outcome.NotRun, Attempts: 2, Most: 2}, retry.ReasonAttempts},
 	}
 	for _, test := range tests {
 		if got := test.fate.Refusal(); got != test.want {
