--- a/coord/overlay/overlay.go
+++ b/coord/overlay/overlay.go
@@ -1,13 +1,14 @@
-// Package overlay decides which processes of a deployment greet each other. Up
-// to some number of them all greet all. Beyond it a few of them are hubs: hubs
-// greet each other, and each other process greets two hubs, which pass on what
-// it says and tell it what they hear. What a process sends then grows with the
-// number of hubs, and what a hub sends with its share of the others, where
-// greetings of all by all grow with the number of processes at each.
+// Package overlay decides which processes of a deployment greet each other. In
+// small deployments every process greets every other (full mesh). In larger ones
+// a few processes are hubs: hubs greet each other, and every other process greets
+// two hubs, which forward its updates and send it those of others. The traffic of
+// a process then grows with the number of hubs, and that of a hub with its share
+// of the other processes, whereas in a full mesh the traffic of each process grows
+// with the number of all processes.
 //
-// All processes derive the hubs from the processes they know. Those who know
-// different ones for a moment may disagree; whoever is greeted passes news on,
-// so that nothing is lost by it.
+// Each process derives the hubs from the processes that it knows. Processes that
+// temporarily know different ones may select different hubs. No update is lost,
+// because every process that is greeted forwards updates.
 package overlay
 
 import (
@@ -21,24 +22,27 @@
 type Node struct {
 	Address    string
 	DataCentre string
-	// Disk is true when it can hold the log, Member when it is in it.
+	// Disk reports whether the process can store the log, Member whether it is a
+	// member of the log.
 	Disk   bool
 	Member bool
-	// Lost is true when it did not answer lately.
+	// Lost reports whether the process has not answered recently.
 	Lost bool
 }
 
 const (
-	// MostHubs is the number of processes up to which all greet all. A hub of 370
-	// processes then has some 45 others to tell, with two hubs each.
+	// MostHubs is the maximum number of hubs, unless the log has more members, and
+	// the number of processes up to which every process greets every other. With
+	// 370 processes and two hubs each, a hub serves about 45 other processes.
 	MostHubs = 16
-	// hubsEach is how many hubs each other process greets: one may be lost.
-	hubsEach = 2
+	// hubsPerProcess is the number of hubs that every other process greets, so that
+	// one of them may be lost.
+	hubsPerProcess = 2
 )
 
-// Hubs lists the hubs among nodes: the members of the log, whose leader must
-// hear the others, then those with a disk, then others, over all data centres
-// alike.
+// Hubs returns the hubs among nodes: first the members of the log, whose leader
+// must receive the updates of all others, then processes with a disk, then the
+// rest. Each group is spread evenly over all data centres.
 func Hubs(nodes []Node) []Node {
 	var hubs []Node
 	for _, rank := range []func(Node) bool{
@@ -61,18 +65,18 @@
 	return hubs
 }
 
-// Greet lists the addresses that self greets, and whether it is a hub; others are
-// the processes it knows.
+// Greet returns the addresses that self greets, and reports whether self is a hub.
+// others are the processes that self knows.
 func Greet(self Node, others []Node) (greeted []string, hub bool) {
 	hubs := Hubs(append([]Node{self}, others...))
 	if slices.ContainsFunc(hubs, func(n Node) bool { return n.Address == self.Address }) {
 		return addresses(slices.DeleteFunc(hubs, func(n Node) bool { return n.Address == self.Address })), true
 	}
 	slices.SortStableFunc(hubs, func(a, b Node) int {
-		return cmp.Or(falseFirst(a.Lost, b.Lost), falseFirst(a.DataCentre != self.DataCentre, b.DataCentre != self.DataCentre),
+		return cmp.Or(compareBool(a.Lost, b.Lost), compareBool(a.DataCentre != self.DataCentre, b.DataCentre != self.DataCentre),
 			cmp.Compare(rendezvous.Weight(self.Address, a.Address), rendezvous.Weight(self.Address, b.Address)))
 	})
-	return addresses(hubs[:min(hubsEach, len(hubs))]), false
+	return addresses(hubs[:min(hubsPerProcess, len(hubs))]), false
 }
 
 func addresses(nodes []Node) []string {
@@ -83,7 +87,8 @@
 	return list
 }
 
-func falseFirst(a, b bool) int {
+// compareBool orders false before true.
+func compareBool(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -94,9 +99,9 @@
 	}
 }
 
-// Spread orders items so that each beginning of the list has about as many of
-// each data centre. describe gives an item's data centre and a name that orders
-// those of one data centre.
+// Spread orders items so that every prefix of the list has about the same number
+// of items from each data centre. describe returns the data centre of an item and
+// a name by which the items of one data centre are ordered.
 func Spread[T any](items []T, describe func(T) (dataCentre, name string)) []T {
 	byCentre := make(map[string][]T)
 	var centres []string
@@ -108,8 +113,8 @@
 		byCentre[centre] = append(byCentre[centre], item)
 	}
 	slices.Sort(centres)
-	for _, of := range byCentre {
-		slices.SortFunc(of, func(a, b T) int {
+	for _, group := range byCentre {
+		slices.SortFunc(group, func(a, b T) int {
 			_, first := describe(a)
 			_, second := describe(b)
 			return cmp.Compare(first, second)
--- a/coord/overlay/overlay_test.go
+++ b/coord/overlay/overlay_test.go
@@ -20,7 +20,7 @@
 	return slices.DeleteFunc(slices.Clone(list), func(n Node) bool { return n.Address == address })
 }
 
-func TestAFewGreetAll(t *testing.T) {
+func TestSmallDeploymentIsFullMesh(t *testing.T) {
 	all := nodes(MostHubs, 4)
 	for _, self := range all {
 		if greeted, hub := Greet(self, without(all, self.Address)); len(greeted) != MostHubs-1 || !hub {
@@ -29,8 +29,8 @@
 	}
 }
 
-// At the size to design for nobody may greet everybody.
-func TestManyGreetHubs(t *testing.T) {
+// At the design size no process may greet all others.
+func TestLargeDeploymentUsesHubs(t *testing.T) {
 	const size = 370
 	all := nodes(size, 9)
 	for i := range 9 {
@@ -39,10 +39,10 @@
 	greetedBy := make(map[string]int)
 	for _, self := range all {
 		greeted, hub := Greet(self, without(all, self.Address))
-		if want := hubsEach; self.Disk {
+		if want := hubsPerProcess; self.Disk {
 			want = MostHubs - 1
 			if len(greeted) != want || !hub {
-				t.Errorf("the member %s greets %d, want all %d other hubs", self.Address, len(greeted), want)
+				t.Errorf("member %s greets %d, want all %d other hubs", self.Address, len(greeted), want)
 			}
 		}
 		for _, address := range greeted {
@@ -52,17 +52,17 @@
 	if len(greetedBy) != MostHubs {
 		t.Fatalf("%d processes are greeted, want %d hubs", len(greetedBy), MostHubs)
 	}
-	const fairShare = hubsEach*size/MostHubs + MostHubs
+	const fairShare = hubsPerProcess*size/MostHubs + MostHubs
 	for address, n := range greetedBy {
 		if n > 2*fairShare {
-			t.Errorf("the hub %s is greeted by %d, a fair share is %d", address, n, fairShare)
+			t.Errorf("hub %s is greeted by %d, a fair share is %d", address, n, fairShare)
 		}
 	}
 }
 
-// A hub falls silent. Its processes would not hear of leaving servers, and send
-// them work that is cut off.
-func TestALostHubIsReplaced(t *testing.T) {
+// A hub stops answering. Without a replacement its processes would not learn of
+// leaving servers, and would send them work that is aborted.
+func TestLostHubIsReplaced(t *testing.T) {
 	all := nodes(40, 4)
 	self := all[39]
 	others := without(all, self.Address)
@@ -71,24 +71,24 @@
 		others[i].Lost = others[i].Address == before[0]
 	}
 	after, _ := Greet(self, others)
-	if slices.Contains(after, before[0]) || len(after) != hubsEach {
-		t.Errorf("it greets %v, want other hubs than the lost %s", after, before[0])
+	if slices.Contains(after, before[0]) || len(after) != hubsPerProcess {
+		t.Errorf("it greets %v, want hubs other than the lost %s", after, before[0])
 	}
 	for i := range others {
 		others[i].Lost = true
 	}
-	if alone, _ := Greet(self, others); len(alone) != hubsEach {
-		t.Errorf("with all hubs lost it greets %v, want it to go on trying", alone)
+	if alone, _ := Greet(self, others); len(alone) != hubsPerProcess {
+		t.Errorf("with all hubs lost it greets %v, want it to keep trying", alone)
 	}
 }
 
-// News must reach everybody over greetings in either direction, whatever the
-// deployment and whichever process is lost.
-func TestGreetingsJoinAll(t *testing.T) {
+// Updates must reach every process over greetings in either direction, for any
+// deployment and with any one process lost.
+func TestGreetingsConnectAllProcesses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := nodes(rapid.IntRange(2, 120).Draw(t, "size"), rapid.IntRange(0, 12).Draw(t, "disks"))
 		lost := all[rapid.IntRange(0, len(all)-1).Draw(t, "lost")].Address
-		joined := make(map[string][]string)
+		edges := make(map[string][]string)
 		for _, self := range all {
 			if self.Address == lost {
 				continue
@@ -99,14 +99,14 @@
 			}
 			greeted, _ := Greet(self, others)
 			for _, other := range greeted {
-				joined[self.Address] = append(joined[self.Address], other)
-				joined[other] = append(joined[other], self.Address)
+				edges[self.Address] = append(edges[self.Address], other)
+				edges[other] = append(edges[other], self.Address)
 			}
 		}
 		alive := without(all, lost)
 		seen := map[string]bool{alive[0].Address: true}
 		for queue := []string{alive[0].Address}; len(queue) > 0; queue = queue[1:] {
-			for _, next := range joined[queue[0]] {
+			for _, next := range edges[queue[0]] {
 				if next != lost && !seen[next] {
 					seen[next] = true
 					queue = append(queue, next)
@@ -114,19 +114,19 @@
 			}
 		}
 		if len(seen) != len(alive) {
-			t.Fatalf("news reach %d of %d processes", len(seen), len(alive))
+			t.Fatalf("updates reach %d of %d processes", len(seen), len(alive))
 		}
 	})
 }
 
-func TestSpreadGoesRoundTheDataCentres(t *testing.T) {
+func TestSpreadAlternatesDataCentres(t *testing.T) {
 	got := Spread([]string{"a2", "a1", "a3", "b1", "c1"}, func(s string) (string, string) { return s[:1], s })
 	if want := []string{"a1", "b1", "c1", "a2", "a3"}; !slices.Equal(got, want) {
 		t.Errorf("spread is %v, want %v", got, want)
 	}
 }
 
-// BenchmarkGreetAtSize measures one choice among 370 processes.
+// BenchmarkGreetAtSize measures one call of Greet with 370 processes.
 func BenchmarkGreetAtSize(b *testing.B) {
 	all := nodes(370, 9)
 	for b.Loop() {
