--- a/coord/startup/startup.go
+++ b/coord/startup/startup.go
@@ -1,40 +1,42 @@
 // Package startup decides which requests wait at an entry that has just started.
 //
-// The load that it answers: all processes stop at once and come back within
-// moments, and callers send on all the while. An entry then knows neither the
-// configuration nor the servers for some tenths of a second. A caller that is
-// refused comes back once, together with all others that were, into the queue
-// that they make; one that waits is served as soon as it can be. An entry that
-// has been up for longer knows that nothing is there, and refuses at once.
+// It covers the case in which all processes stop and restart within moments while
+// callers keep sending requests. An entry then knows neither the configuration nor
+// the servers for a few tenths of a second. A caller that is refused retries at the
+// same time as all other refused callers and joins the queue that they form; a
+// request that waits is served as soon as possible. An entry that has been up for
+// longer knows that no server is available, and refuses immediately.
 package startup
 
 import "time"
 
-// Options bound the waiting.
+// Options limits how long and how many requests wait.
 type Options struct {
-	// Settle is how long after its start an entry may still learn what the others
-	// know: some heartbeats of the servers.
+	// Settle is the time after its start within which an entry may still learn the
+	// state of the others: a few heartbeats of the servers.
 	Settle time.Duration
-	// Most is the most requests that wait at once.
+	// Most is the maximum number of requests that wait at once.
 	Most int
 }
 
-// patienceShare is the part of a caller's patience that may pass in waiting where
-// nothing else is known of its request: the rest is enough to come back once.
-const patienceShare = 3
+// timeoutDivisor divides the caller's timeout: a request about which nothing else
+// is known waits for at most a third of it. The rest is enough for one retry.
+const timeoutDivisor = 3
 
-// Latest is until when a request waits of which nothing is known but when it
-// arrived and how long its caller waits; 0 when the caller did not say.
-func (o Options) Latest(arrived time.Time, patience time.Duration) time.Time {
-	if patience <= 0 {
-		patience = patienceShare * o.Settle
+// Latest returns the time until which a request waits if only its arrival and its
+// caller's timeout are known. A timeout of 0 means that the caller did not give
+// one.
+func (o Options) Latest(arrived time.Time, timeout time.Duration) time.Time {
+	if timeout <= 0 {
+		timeout = timeoutDivisor * o.Settle
 	}
-	return arrived.Add(patience / patienceShare)
+	return arrived.Add(timeout / timeoutDivisor)
 }
 
-// Until is how long a request waits at an entry that started at a time, where so
-// many wait already and a start behind latest is of no use. ok is false for one
-// that is refused at once.
+// Until returns the time until which a request waits at an entry that started at
+// started and at which waiting other requests wait. It is no later than latest,
+// after which the request is no longer worth starting. ok is false if the request
+// is refused immediately.
 func (o Options) Until(started, now, latest time.Time, waiting int) (until time.Time, ok bool) {
 	until = started.Add(o.Settle)
 	if latest.Before(until) {
--- a/coord/startup/startup_test.go
+++ b/coord/startup/startup_test.go
@@ -16,11 +16,11 @@
 		until       time.Duration
 		ok          bool
 	}{
-		{"it may still learn", 100 * time.Millisecond, 10 * time.Second, 0, 2 * time.Second, true},
-		{"no longer than it is of use", 100 * time.Millisecond, 400 * time.Millisecond, 0, 400 * time.Millisecond, true},
-		{"of no use any more", 500 * time.Millisecond, 400 * time.Millisecond, 0, 400 * time.Millisecond, false},
-		{"it knows that nothing is there", 2 * time.Second, 10 * time.Second, 0, 2 * time.Second, false},
-		{"too many wait", 100 * time.Millisecond, 10 * time.Second, 3, 2 * time.Second, false},
+		{"entry is settling", 100 * time.Millisecond, 10 * time.Second, 0, 2 * time.Second, true},
+		{"bounded by latest", 100 * time.Millisecond, 400 * time.Millisecond, 0, 400 * time.Millisecond, true},
+		{"after latest", 500 * time.Millisecond, 400 * time.Millisecond, 0, 400 * time.Millisecond, false},
+		{"entry has settled", 2 * time.Second, 10 * time.Second, 0, 2 * time.Second, false},
+		{"too many waiting", 100 * time.Millisecond, 10 * time.Second, 3, 2 * time.Second, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -32,15 +32,15 @@
 	}
 }
 
-func TestLatestLeavesTimeToComeBack(t *testing.T) {
+func TestLatestLeavesTimeForRetry(t *testing.T) {
 	arrived := time.Unix(1000, 0)
 	options := Options{Settle: 2400 * time.Millisecond}
-	for patience, want := range map[time.Duration]time.Duration{
+	for timeout, want := range map[time.Duration]time.Duration{
 		900 * time.Millisecond: 300 * time.Millisecond,
 		0:                      2400 * time.Millisecond,
 	} {
-		if got := options.Latest(arrived, patience).Sub(arrived); got != want {
-			t.Errorf("with a patience of %v it waits %v, want %v", patience, got, want)
+		if got := options.Latest(arrived, timeout).Sub(arrived); got != want {
+			t.Errorf("with a timeout of %v it waits %v, want %v", timeout, got, want)
 		}
 	}
 }
