--- a/coord/backoff/backoff.go
+++ b/coord/backoff/backoff.go
@@ -1,44 +1,45 @@
-// Package backoff decides how long a process pauses before it tries again what
-// has failed. Many processes that fail for the same reason, and at the same peer,
-// must not keep that reason up by their tries.
+// Package backoff decides how long a process pauses before it retries a failed
+// operation. Many processes that fail for the same reason, at the same peer, must
+// not sustain the failure by their retries.
 //
-// It is pure: the caller passes the time and the random number.
+// It is deterministic: the caller passes the time and the random number.
 package backoff
 
 import "time"
 
-// growth is which part of the time since the trouble began a pause lasts at the
-// least. What is there again is found late by no more than that part.
-const growth = 8
+// growthDivisor divides the time since the first failure to get the minimum pause. A
+// recovery is therefore noticed with a delay of at most that part of the outage.
+const growthDivisor = 8
 
-// spread is by how much of itself a pause is drawn shorter or longer, so that
-// those who failed at the same moment do not try again at the same moment.
-const spread = 0.25
+// jitter is the fraction by which a pause is randomly shortened or lengthened, so
+// that processes that failed at the same time do not retry at the same time.
+const jitter = 0.25
 
-// Options bound the tries at one matter.
+// Options configures the retries of one operation.
 type Options struct {
-	// First is the pause behind the first failure, Most the longest one.
+	// First is the pause after the first failure, Most the maximum pause.
 	First time.Duration
 	Most  time.Duration
-	// Rate is how many tries a second all processes that share the matter may make
-	// together; 0 leaves them unbounded. It goes before Most.
+	// Rate is the maximum number of retries per second of all processes that share
+	// the operation; 0 means no limit. It takes precedence over Most.
 	Rate float64
 }
 
-// Pause is the pause before the next try, when the trouble has lasted for so long
-// and so many processes share the matter. random is uniform in [0, 1).
-func (o Options) Pause(trouble time.Duration, sharing int, random float64) time.Duration {
-	pause := min(max(o.First, trouble/growth), o.Most)
+// Pause returns the pause before the next retry of an operation that has failed
+// for the given time and is shared by the given number of processes. random is a
+// random number, uniform in [0, 1).
+func (o Options) Pause(outage time.Duration, sharing int, random float64) time.Duration {
+	pause := min(max(o.First, outage/growthDivisor), o.Most)
 	if o.Rate > 0 {
 		pause = max(pause, time.Duration(float64(sharing)/o.Rate*float64(time.Second)))
 	}
-	return time.Duration(float64(pause) * (1 - spread + 2*spread*random))
+	return time.Duration(float64(pause) * (1 - jitter + 2*jitter*random))
 }
 
-// Trouble is a run of failures. The zero value is none.
+// Trouble tracks a run of consecutive failures. The zero value is an empty run.
 type Trouble struct{ since time.Time }
 
-// Failed notes a failure and returns how long they have lasted.
+// Failed records a failure and returns the time since the first one of the run.
 func (t *Trouble) Failed(now time.Time) time.Duration {
 	if t.since.IsZero() {
 		t.since = now
@@ -46,7 +47,7 @@
 	return now.Sub(t.since)
 }
 
-// Lasts returns how long failures have lasted, 0 while there is no trouble.
+// Lasts returns the time since the first failure of the run, 0 if there is none.
 func (t *Trouble) Lasts(now time.Time) time.Duration {
 	if t.since.IsZero() {
 		return 0
@@ -54,12 +55,13 @@
 	return now.Sub(t.since)
 }
 
-// Over notes a success.
+// Over records a success, which ends the run.
 func (t *Trouble) Over() { t.since = time.Time{} }
 
-// Patience is how long an answer is awaited, between a first and a longest time, when
-// failures have lasted for so long. Where all answers are late because of the load,
-// those that give up and ask anew add to it; one of them must be waited for in the end.
-func Patience(first, most, trouble time.Duration) time.Duration {
-	return min(max(first, trouble/2), most)
+// Patience returns the timeout of a request when requests have failed for the given
+// time. It grows from first to most. If all answers are late because of the load,
+// requests that time out and are repeated add to the load; the timeout must
+// eventually be long enough for an answer.
+func Patience(first, most, outage time.Duration) time.Duration {
+	return min(max(first, outage/2), most)
 }
