--- a/coord/fencing/fencing.go
+++ b/coord/fencing/fencing.go
@@ -1,32 +1,33 @@
-// Package fencing decides who may give an engine its orders.
+// Package fencing decides which process may send orders to an engine.
 //
-// Two would-be owners of one engine, parted by a silent partition, would undo
-// each other's loads and evict adapters that serve. Table, behind the
-// replicated log, gives each owner a number above all before it and a lease.
-// Owner, at the order giver, says whether an order may be given now. Neither
-// reads a clock: both measure the lease from moments of their own, so that the
-// clocks of two processes are never compared.
+// Two processes that both consider themselves the owner of one engine, separated
+// by a network partition, would undo each other's loads and evict adapters in use.
+// Table, which is part of the replicated state, gives each owner a fencing number
+// higher than all previous ones. Owner, in the process that sends the orders,
+// reports whether its lease permits an order now. Neither reads a clock: an owner
+// measures its lease from times of its own process, so that the clocks of two
+// processes are never compared.
 package fencing
 
 import "time"
 
-// Options are the same for all owners of one engine.
+// Options configures an Owner. It must be the same for all owners of one engine.
 type Options struct {
-	// Lease is how long an owner may give orders after it asked for it.
+	// Lease is how long an owner may give orders after it requested the lease.
 	Lease time.Duration
-	// LongestOrder is the longest time after which an order that was given
-	// still takes effect at the engine.
+	// LongestOrder is the maximum time between sending an order and its taking
+	// effect at the engine.
 	LongestOrder time.Duration
-	// Enforced is true for an engine that refuses an order with a number
-	// below the highest it has seen.
+	// Enforced reports whether the engine refuses orders with a number below the
+	// highest that it has seen.
 	Enforced bool
 }
 
-// driftShare is how much slower one process's clock may run than another's, as
-// a part of one in so many.
-const driftShare = 100
+// driftDivisor is the maximum clock drift between two processes, as a divisor: one
+// clock may run slower than another by 1/driftDivisor.
+const driftDivisor = 100
 
-// Table is who owns which engine. One duty owns it.
+// Table records the owner of each engine. It is not safe for concurrent use.
 type Table struct {
 	owners map[string]grant
 }
@@ -36,12 +37,13 @@
 	number uint64
 }
 
-// NewTable returns a table in which nobody owns anything.
+// NewTable returns a table in which no engine has an owner.
 func NewTable() *Table { return &Table{owners: make(map[string]grant)} }
 
-// Acquire makes the holder the owner of an engine and returns its number. A
-// holder names one process in one life. first is true when nobody owned the
-// engine before. The owner before learns of it at its next renewal, or never.
+// Acquire makes the holder the owner of an engine and returns its fencing number.
+// A holder identifies one incarnation of a process. first reports whether the
+// engine had no owner before. The previous owner learns of the change at its next
+// renewal, if it can reach the table.
 func (t *Table) Acquire(engine, holder string) (number uint64, first bool) {
 	current, owned := t.owners[engine]
 	if owned && current.holder == holder {
@@ -52,41 +54,42 @@
 	return next.number, !owned
 }
 
-// Renew reports whether the number is still the engine's highest.
+// Renew reports whether the number is still the highest of the engine.
 func (t *Table) Renew(engine string, number uint64) bool {
 	return t.owners[engine].number == number
 }
 
-// Owner is the view of one would-be owner, by its own monotonic clock.
+// Owner is the local state of one process that requested the ownership of an
+// engine, measured by its own monotonic clock.
 type Owner struct {
 	options Options
 	number  uint64
-	// from and until bound the time in which orders may be given.
+	// from and until delimit the period in which orders may be given.
 	from, until time.Time
 }
 
-// NewOwner returns an owner that has not acquired anything.
+// NewOwner returns an owner without a grant.
 func NewOwner(options Options) *Owner { return &Owner{options: options} }
 
-// Acquired takes a grant into account. asked is when the request for it was
-// sent, now when the answer arrived.
+// Acquired records a grant. asked is when the request was sent, now when the answer
+// arrived.
 //
-// An engine that ignores numbers may still be taking orders of the owner
-// before: for that owner's whole lease, which it cannot have begun after this
-// grant, and for the longest order that it gave at its end. Only the wait for
-// both keeps the two apart; an engine that enforces numbers needs none.
+// An engine that does not enforce numbers may still accept orders of the previous
+// owner: for that owner's whole lease, which cannot have begun after this grant,
+// plus LongestOrder for an order sent at its end. Only waiting for both excludes
+// two concurrent owners; an engine that enforces numbers needs no wait.
 func (o *Owner) Acquired(number uint64, first bool, asked, now time.Time) {
 	o.number = number
 	o.from = now
 	if !first && !o.options.Enforced {
 		wait := o.options.Lease + o.options.LongestOrder
-		o.from = now.Add(wait + wait/driftShare)
+		o.from = now.Add(wait + wait/driftDivisor)
 	}
 	o.until = asked.Add(o.options.Lease)
 }
 
-// Renewed takes the answer to a renewal into account; asked is when it was
-// sent. An owner that was not renewed gives no more orders.
+// Renewed records the answer to a renewal. asked is when the renewal was sent. If
+// ok is false, the owner gives no more orders.
 func (o *Owner) Renewed(ok bool, asked time.Time) {
 	if !ok {
 		o.until = time.Time{}
@@ -97,8 +100,8 @@
 	}
 }
 
-// MayOrder returns the number to give an order with, and whether one may be
-// given now.
+// MayOrder returns the fencing number for an order, and reports whether an order
+// may be given now.
 func (o *Owner) MayOrder(now time.Time) (uint64, bool) {
 	return o.number, o.number > 0 && !now.Before(o.from) && now.Before(o.until)
 }
--- a/coord/fencing/fencing_test.go
+++ b/coord/fencing/fencing_test.go
@@ -20,13 +20,13 @@
 	steps        = 6000
 )
 
-// effect is one order that an engine carried out.
+// effect is one order that the engine executed.
 type effect struct {
 	at     time.Duration
 	number uint64
 }
 
-// answer is a reply of the table on its way to an owner.
+// answer is a reply of the table in transit to an owner.
 type answer struct {
 	arrives time.Duration
 	asked   time.Duration
@@ -35,89 +35,92 @@
 	renewed bool
 }
 
-// wouldBe is an owner that may be parted from the table, but not from the engine.
-type wouldBe struct {
-	owner   *fencing.Owner
-	holder  string
-	life    int
-	number  uint64
-	pending []answer
-	cutTill time.Duration
+// contender is an owner that may be partitioned from the table, but not from the
+// engine.
+type contender struct {
+	owner            *fencing.Owner
+	holder           string
+	incarnation      int
+	number           uint64
+	pending          []answer
+	partitionedUntil time.Duration
 }
 
-// contest lets two would-be owners fight over one engine for a minute and
-// returns the orders that the engine carried out. When naive, a new owner does
-// not wait for the one before.
-func contest(seed uint64, enforced, naive bool) []effect {
+// simulate lets two contenders compete for one engine for a minute and returns the
+// orders that the engine executed. If naive is set, a new owner does not wait for
+// the lease of the previous one.
+func simulate(seed uint64, enforced, naive bool) []effect {
 	random := rand.New(rand.NewPCG(seed, 4))
-	// Naive owners take the engine for one that enforces numbers.
+	// Naive owners assume that the engine enforces numbers.
 	options := fencing.Options{Lease: lease, LongestOrder: longestOrder, Enforced: enforced || naive}
 	table := fencing.NewTable()
-	owners := []*wouldBe{{holder: "a"}, {holder: "b"}}
-	for _, w := range owners {
-		w.owner = fencing.NewOwner(options)
+	owners := []*contender{{holder: "a"}, {holder: "b"}}
+	for _, c := range owners {
+		c.owner = fencing.NewOwner(options)
 	}
-	var given []effect
+	var effects []effect
 	for i := range steps {
 		now := time.Duration(i) * step
-		for _, w := range owners {
+		for _, c := range owners {
 			if random.IntN(600) == 0 {
-				w.cutTill = now + time.Duration(random.IntN(5000))*time.Millisecond
+				c.partitionedUntil = now + time.Duration(random.IntN(5000))*time.Millisecond
 			}
-			w.talk(table, now, random)
-			w.hear(now)
-			if number, may := w.owner.MayOrder(start.Add(now)); may && random.IntN(5) == 0 {
-				given = append(given, effect{at: now + time.Duration(random.Int64N(int64(longestOrder))), number: number})
+			c.sendRequest(table, now, random)
+			c.receive(now)
+			if number, ok := c.owner.MayOrder(start.Add(now)); ok && random.IntN(5) == 0 {
+				effects = append(effects, effect{at: now + time.Duration(random.Int64N(int64(longestOrder))), number: number})
 			}
 		}
 	}
-	slices.SortStableFunc(given, func(x, y effect) int { return cmp.Compare(x.at, y.at) })
+	slices.SortStableFunc(effects, func(x, y effect) int { return cmp.Compare(x.at, y.at) })
 	if !enforced {
-		return given
+		return effects
 	}
 	var highest uint64
-	return slices.DeleteFunc(given, func(e effect) bool {
+	return slices.DeleteFunc(effects, func(e effect) bool {
 		refused := e.number < highest
 		highest = max(highest, e.number)
 		return refused
 	})
 }
 
-// talk renews, or now and then takes the engine over.
-func (w *wouldBe) talk(table *fencing.Table, now time.Duration, random *rand.Rand) {
-	if now < w.cutTill {
+// sendRequest requests a renewal at random, and occasionally the ownership under a new
+// incarnation.
+func (c *contender) sendRequest(table *fencing.Table, now time.Duration, random *rand.Rand) {
+	if now < c.partitionedUntil {
 		return
 	}
 	reply := answer{arrives: now + time.Duration(random.IntN(500))*time.Millisecond, asked: now}
 	switch {
 	case random.IntN(800) == 0:
-		w.life++
-		reply.number, reply.first = table.Acquire("engine", fmt.Sprint(w.holder, w.life))
-	case w.number > 0 && random.IntN(20) == 0:
-		reply.renewed = table.Renew("engine", w.number)
+		c.incarnation++
+		reply.number, reply.first = table.Acquire("engine", fmt.Sprint(c.holder, c.incarnation))
+	case c.number > 0 && random.IntN(20) == 0:
+		reply.renewed = table.Renew("engine", c.number)
 	default:
 		return
 	}
-	w.pending = append(w.pending, reply)
+	c.pending = append(c.pending, reply)
 }
 
-func (w *wouldBe) hear(now time.Duration) {
-	w.pending = slices.DeleteFunc(w.pending, func(a answer) bool {
+// receive processes the answers that have arrived.
+func (c *contender) receive(now time.Duration) {
+	c.pending = slices.DeleteFunc(c.pending, func(a answer) bool {
 		if a.arrives > now {
 			return false
 		}
-		if a.number > w.number {
-			w.number = a.number
-			w.owner.Acquired(a.number, a.first, start.Add(a.asked), start.Add(now))
+		if a.number > c.number {
+			c.number = a.number
+			c.owner.Acquired(a.number, a.first, start.Add(a.asked), start.Add(now))
 		} else if a.number == 0 {
-			w.owner.Renewed(a.renewed, start.Add(a.asked))
+			c.owner.Renewed(a.renewed, start.Add(a.asked))
 		}
 		return true
 	})
 }
 
-// backSteps counts orders that took effect after one of a later owner.
-func backSteps(effects []effect) int {
+// staleOrders counts orders that took effect after one of a later owner.
+func staleOrders(effects []effect) int {
 	n, highest := 0, uint64(0)
 	for _, e := range effects {
 		if e.number < highest {
@@ -128,23 +131,23 @@
 	return n
 }
 
-// Two processes believe that they own one engine, because a silent partition
-// keeps the news from the first. If both gave orders, one would unload the
-// adapter that the other has just begun to serve.
-func TestNeverDoTwoOwnersGiveOrders(t *testing.T) {
+// Two processes consider themselves the owner of one engine, because a network
+// partition keeps the first from learning of the second. If both gave orders, one
+// would unload an adapter that the other has just started to serve.
+func TestAtMostOneOwnerGivesOrders(t *testing.T) {
 	naive, orders := 0, 0
 	for seed := range uint64(200) {
 		for _, enforced := range []bool{false, true} {
-			effects := contest(seed, enforced, false)
+			effects := simulate(seed, enforced, false)
 			orders += len(effects)
-			if n := backSteps(effects); n > 0 {
+			if n := staleOrders(effects); n > 0 {
 				t.Errorf("seed %d, enforced %v: %d orders took effect after a later owner's", seed, enforced, n)
 			}
 		}
-		naive += backSteps(contest(seed, false, true))
+		naive += staleOrders(simulate(seed, false, true))
 	}
 	if naive == 0 || orders == 0 {
-		t.Error("the schedules do not show the fault")
+		t.Error("the schedules do not reproduce the fault without the wait")
 	}
 	t.Logf("200 schedules: 0 of %d orders after a later owner's; without the wait %d", orders, naive)
 }
