--- a/coord/modelplan/modelplan.go
+++ b/coord/modelplan/modelplan.go
@@ -1,5 +1,5 @@
-// Package modelplan decides which base model an engine that holds none loads,
-// where a service has several: the one whose requests find the fewest engines.
+// Package modelplan decides which base model an empty engine loads if its service
+// has several: the one with the fewest engines relative to its requests.
 package modelplan
 
 import (
@@ -7,91 +7,95 @@
 	"time"
 )
 
-// Model is a base model as the one that decides sees it.
+// Model describes a base model as input of the decision.
 type Model struct {
 	Name string
-	// Demand is its share of the requests lately, 0 to 1.
+	// Demand is the model's share of recent requests, from 0 to 1.
 	Demand float64
-	// Holders are the engines that hold it or load it.
+	// Holders is the number of engines that hold or load the model.
 	Holders int
-	// Near is true when the engine keeps a copy on its own disk.
+	// Near reports whether the engine has a copy on its own disk.
 	Near bool
 }
 
 const (
-	// leastDemand is the share that a model counts for without any requests: a
-	// model that nobody holds cannot be served when its next request comes.
-	leastDemand = 0.02
-	// noHolders is what no holders count for: a model without any comes before
-	// one that has some until those have twelve times its share each.
-	noHolders = 0.25
-	// nearFactor favours a copy on the engine's own disk: a load from there takes
-	// well under half of the time and costs the store nothing.
-	nearFactor = 3.0
+	// baseDemand is added to the share of every model, so that a model without
+	// requests counts too: a model that no engine holds cannot be served when its
+	// next request arrives.
+	baseDemand = 0.02
+	// minHolders replaces a count of 0 holders: a model without holders precedes
+	// one with holders, unless the latter has twelve times its share for each
+	// holder.
+	minHolders = 0.25
+	// diskFactor favours a copy on the engine's own disk: a load from disk takes
+	// well under half the time of a load from the store and adds no load to the
+	// store.
+	diskFactor = 3.0
 )
 
-// Next returns the model that an empty engine should load, empty when there are
-// none. Of equal ones the first counts.
+// Next returns the name of the model that an empty engine should load, or an empty
+// string if there are no models. Of models with equal scores it returns the first.
 func Next(models []Model) string {
 	next, highest := "", 0.0
 	for _, m := range models {
-		need := (m.Demand + leastDemand) / max(float64(m.Holders), noHolders)
+		score := (m.Demand + baseDemand) / max(float64(m.Holders), minHolders)
 		if m.Near {
-			need *= nearFactor
+			score *= diskFactor
 		}
-		if next == "" || need > highest {
-			next, highest = m.Name, need
+		if next == "" || score > highest {
+			next, highest = m.Name, score
 		}
 	}
 	return next
 }
 
-// demandHalfLife is how fast past requests lose their weight: popularity moves
-// within minutes, and an engine that is loaded serves for longer.
+// demandHalfLife is the half-life of the weight of past requests: popularity
+// changes within minutes, and a loaded engine serves for longer than that.
 const demandHalfLife = 30 * time.Second
 
-// Demand counts requests by model.
+// Demand counts requests by model, with exponential decay.
 type Demand struct {
 	counts map[string]float64
-	// fadedAt is when counts were last brought up to date.
-	fadedAt time.Time
+	// decayedAt is when the decay was last applied to counts.
+	decayedAt time.Time
 }
 
-// Note counts a request.
+// Note records a request.
 func (d *Demand) Note(model string, now time.Time) {
-	d.fade(now)
+	d.decay(now)
 	if d.counts == nil {
 		d.counts = make(map[string]float64)
 	}
 	d.counts[model]++
 }
 
-// fadeStep is the least time between two fadings.
-const fadeStep = time.Second
+// decayInterval is the minimum time between two applications of the decay.
+const decayInterval = time.Second
 
-func (d *Demand) fade(now time.Time) {
-	passed := now.Sub(d.fadedAt)
-	if passed < fadeStep {
+func (d *Demand) decay(now time.Time) {
+	elapsed := now.Sub(d.decayedAt)
+	if elapsed < decayInterval {
 		return
 	}
-	d.fadedAt = now
-	// Between half-lives the weight falls evenly, which is near enough.
-	left := 1.0
-	for ; passed >= demandHalfLife && left > 1e-6; passed -= demandHalfLife {
-		left /= 2
+	d.decayedAt = now
+	// Within a half-life the decay is linear, which is a sufficient approximation.
+	factor := 1.0
+	for ; elapsed >= demandHalfLife && factor > 1e-6; elapsed -= demandHalfLife {
+		factor /= 2
 	}
-	left *= 1 - float64(min(passed, demandHalfLife))/float64(2*demandHalfLife)
+	factor *= 1 - float64(min(elapsed, demandHalfLife))/float64(2*demandHalfLife)
 	for model, count := range d.counts {
-		if d.counts[model] = count * left; d.counts[model] < 1e-3 {
+		if d.counts[model] = count * factor; d.counts[model] < 1e-3 {
 			delete(d.counts, model)
 		}
 	}
 }
 
-// Share is the part of a model in the requests for those named. While there were
-// none the first one counts for all: the others then get an engine each.
+// Share returns the model's share of the requests for the models in among. Without
+// such requests the first model has a share of 1 and the others 0, so that each of
+// the others gets one engine.
 func (d *Demand) Share(model string, among []string, now time.Time) float64 {
-	d.fade(now)
+	d.decay(now)
 	if !slices.Contains(among, model) {
 		return 0
 	}
--- a/coord/modelplan/modelplan_test.go
+++ b/coord/modelplan/modelplan_test.go
@@ -7,36 +7,36 @@
 	"pgregory.net/rapid"
 )
 
-// Engines come up empty after a crash, a release or a loss of power. If all of
-// them loaded the first model, requests for the others would find no engine at
-// all any more.
-func TestAnEmptyEngineLoadsWhatIsShort(t *testing.T) {
+// Engines are empty after a crash, a release or a power failure. If all of them
+// loaded the first model, requests for the other models would find no engine.
+func TestNext(t *testing.T) {
 	tests := []struct {
 		name   string
 		models []Model
 		want   string
 	}{
 		{"one model", []Model{{Name: "a", Demand: 1, Holders: 3}}, "a"},
-		{"nobody holds any", []Model{{Name: "a"}, {Name: "b"}}, "a"},
-		{"nothing is asked for and the first is there", []Model{{Name: "a", Holders: 1}, {Name: "b"}}, "b"},
-		{"a rare one has no engine", []Model{{Name: "a", Demand: 0.9, Holders: 14}, {Name: "b", Demand: 0.1}}, "b"},
-		{"the busy one is far shorter", []Model{{Name: "a", Demand: 0.99, Holders: 1}, {Name: "b", Demand: 0.01}}, "a"},
+		{"no model has holders", []Model{{Name: "a"}, {Name: "b"}}, "a"},
+		{"no requests and the first has a holder", []Model{{Name: "a", Holders: 1}, {Name: "b"}}, "b"},
+		{"a rarely used model has no engine", []Model{{Name: "a", Demand: 0.9, Holders: 14}, {Name: "b", Demand: 0.1}}, "b"},
+		{"a far busier model has one engine", []Model{{Name: "a", Demand: 0.99, Holders: 1}, {Name: "b", Demand: 0.01}}, "a"},
 		{"by share", []Model{{Name: "a", Demand: 0.7, Holders: 7}, {Name: "b", Demand: 0.3, Holders: 2}}, "b"},
-		{"a copy is near", []Model{{Name: "a", Demand: 0.7, Holders: 7, Near: true}, {Name: "b", Demand: 0.3, Holders: 2}}, "a"},
-		{"a copy is near and nobody holds the other", []Model{{Name: "a", Demand: 0.7, Holders: 7, Near: true}, {Name: "b", Demand: 0.3}}, "b"},
+		{"one has a copy on disk", []Model{{Name: "a", Demand: 0.7, Holders: 7, Near: true}, {Name: "b", Demand: 0.3, Holders: 2}}, "a"},
+		{"one has a copy on disk and the other has no holders", []Model{{Name: "a", Demand: 0.7, Holders: 7, Near: true}, {Name: "b", Demand: 0.3}}, "b"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := Next(test.models); got != test.want {
-				t.Errorf("Next gave %q, want %q", got, test.want)
+				t.Errorf("Next returned %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
-// All engines lose their models at once. Filled one after the other they must
-// end up about as the requests are shared out, with every model somewhere.
-func TestEnginesFillUpByDemand(t *testing.T) {
+// All engines lose their models at once. Loaded one after the other, they must end
+// up approximately in proportion to the requests, with every model on at least one
+// engine.
+func TestEnginesFollowDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shares := rapid.SliceOfN(rapid.Float64Range(0.01, 1), 2, 5).Draw(t, "shares")
 		total := 0.0
@@ -64,7 +64,7 @@
 	})
 }
 
-func TestDemandFollowsRecentRequests(t *testing.T) {
+func TestDemandWeightsRecentRequests(t *testing.T) {
 	var d Demand
 	now := time.Unix(1000, 0)
 	names := []string{"a", "b"}
