--- a/coord/outcome/outcome.go
+++ b/coord/outcome/outcome.go
@@ -1,30 +1,31 @@
-// Package outcome defines what a caller is told about the fate of its request.
+// Package outcome defines what is reported to a caller about the execution of its
+// request.
 //
-// The outcome is decided in one place per request and travels as a value. The
-// zero value is Unknown, so that a code path that forgets to decide never
-// claims that a request was not run.
+// The outcome is decided in one place per request and passed on as a value. The
+// zero value is Unknown, so that a code path that does not set it never claims that
+// a request was not run.
 package outcome
 
 import "github.com/pkg/errors"
 
-// Outcome is the fate of one request as far as the system can prove it.
+// Outcome is the result of one request, as far as the system can prove it.
 type Outcome uint8
 
 const (
 	// Unknown means that the request may or may not have run.
 	Unknown Outcome = iota
-	// Answered means that the backend server's whole answer was relayed.
+	// Answered means that the complete answer of the backend server was relayed.
 	Answered
-	// NotRun means that no byte of the request can reach a backend server
-	// any more, so the caller may safely send it again.
+	// NotRun means that no byte of the request has reached or can still reach a
+	// backend server, so that the caller may safely send it again.
 	NotRun
 )
 
-// Header is the HTTP header that carries the outcome to callers and between
-// entry and agent.
+// Header is the HTTP header that carries the outcome between agent and entry and
+// to callers.
 const Header = "Rosemarypass-Outcome"
 
-// String returns the wire form used in Header.
+// String returns the representation used in Header.
 func (o Outcome) String() string {
 	switch o {
 	case Answered:
@@ -36,8 +37,8 @@
 	}
 }
 
-// Parse reads the wire form. Any text that is not a known outcome is an error,
-// and the returned value is then Unknown.
+// Parse parses the representation used in Header. It returns Unknown and an error
+// if text is not a known outcome.
 func Parse(text string) (Outcome, error) {
 	switch text {
 	case "answered":
@@ -51,20 +52,20 @@
 	}
 }
 
-// Evidence is what one hop knows about a request that it tried to pass on.
+// Evidence is what one hop knows about a request that it tried to forward.
 type Evidence struct {
-	// Sent is false only when no byte of the request left this hop and none
-	// can any more.
+	// Sent is false only if no byte of the request has left this hop or can still
+	// leave it.
 	Sent bool
-	// Refused is true when the next hop, a gate of this system, vouches
-	// that it did not pass the request on.
+	// Refused reports whether the next hop, a gate of this system, confirmed that
+	// it did not forward the request.
 	Refused bool
-	// Whole is true when the whole answer was relayed.
+	// Whole reports whether the complete answer was relayed.
 	Whole bool
 }
 
-// Decide is the only place where evidence becomes an outcome. What the
-// evidence does not prove is Unknown.
+// Decide derives the outcome from the evidence. It is the only place that does so.
+// The outcome is Unknown if the evidence proves neither of the others.
 func Decide(e Evidence) Outcome {
 	switch {
 	case !e.Sent || e.Refused:
