--- a/coord/internal/liveheap/liveheap.go
+++ b/coord/internal/liveheap/liveheap.go
@@ -1,10 +1,10 @@
-// Package liveheap measures memory for the benchmarks that docs/CAPACITY.md
-// rests on.
+// Package liveheap measures heap memory for the benchmarks on which
+// docs/CAPACITY.md is based.
 package liveheap
 
 import "runtime"
 
-// Bytes is the heap that is reachable now, after a collection.
+// Bytes runs a garbage collection and returns the size of the live heap in bytes.
 func Bytes() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -12,7 +12,7 @@
 	return float64(stats.HeapAlloc)
 }
 
-// Of is the heap that build's value holds, in bytes.
+// Of returns the heap memory retained by the value that build returns, in bytes.
 func Of(build func() any) float64 {
 	before := Bytes()
 	value := build()
