--- a/coord/experiment/bound.go
+++ b/coord/experiment/bound.go
@@ -8,11 +8,11 @@
 	"github.com/rosemarypass/rosemarypass/coord/catalogue"
 )
 
-// Bound is what no policy that loads on demand can beat on the same arrivals:
-// the slots of all engines are one pool, nothing is pinned, the adapter with
-// the farthest next use is evicted (Belady), and the store has no queue. Its
-// occupancy packs the requests that run, with their adapters, on as few
-// engines as can hold them at each moment.
+// Bound returns a bound that no policy that loads on demand can beat on the same
+// arrivals: the slots of all engines form one pool, no adapter is pinned, the
+// adapter with the farthest next use is evicted (Belady), and the store has no
+// queue. For the occupancy, the running requests and their adapters are packed at
+// each time on the minimum number of engines.
 func Bound(d Deployment, s Scenario, seed uint64) Result {
 	w := newWorld(d, s, Naive(), seed)
 	w.start()
@@ -30,12 +30,13 @@
 	r.StartP99 = r.StallP99
 	r.Stalled = float64(loads) / float64(len(stalls))
 	r.LoadsPerRequest = r.Stalled
-	r.Occupancy, r.ServersInUse = densest(trace, d)
+	r.Occupancy, r.ServersInUse = densestPacking(trace, d)
 	return r
 }
 
-// clairvoyantStalls returns the stall of each request after the warm-up.
-func clairvoyantStalls(trace []demand, size int) []time.Duration {
+// clairvoyantStalls returns the stall of each request after the warm-up, under
+// eviction that knows the future.
+func clairvoyantStalls(trace []arrival, size int) []time.Duration {
 	next := nextUses(trace)
 	held := make(map[catalogue.Ref]int)
 	uses := &useHeap{}
@@ -64,7 +65,7 @@
 	}
 }
 
-func nextUses(trace []demand) []int {
+func nextUses(trace []arrival) []int {
 	next := make([]int, len(trace))
 	seen := make(map[catalogue.Ref]int)
 	for i := len(trace) - 1; i >= 0; i-- {
@@ -83,7 +84,7 @@
 	at  int
 }
 
-// useHeap has the farthest use on top.
+// useHeap is a max-heap by the time of the use.
 type useHeap []use
 
 func (h useHeap) Len() int           { return len(h) }
@@ -101,9 +102,9 @@
 	return x
 }
 
-// densest is the occupancy and the mean number of engines when at each moment
-// the requests that run, started on arrival, are on the fewest engines.
-func densest(trace []demand, d Deployment) (occupancy, engines float64) {
+// densestPacking returns the occupancy and the mean number of engines if requests
+// start on arrival and run at each time on the minimum number of engines.
+func densestPacking(trace []arrival, d Deployment) (occupancy, engines float64) {
 	c := &clock{}
 	running, distinct := 0, make(map[catalogue.Ref]int)
 	var filled, busy, span float64
--- a/coord/experiment/experiment.go
+++ b/coord/experiment/experiment.go
@@ -1,9 +1,10 @@
-// Package experiment measures the placement and load policies in virtual time.
+// Package experiment evaluates the placement and load policies in virtual time.
 //
-// It runs the shipped decisions (placement.Selector, slots.Table,
-// broker.Broker) against small fakes at their interfaces: an engine that
-// batches, a weight store with a knee, and load reports that lag. There is no
-// network, no process and no cluster. One seed gives one result.
+// It runs the production decision code (placement.Selector, slots.Table,
+// broker.Broker) against small fakes at their interfaces: an engine with batching,
+// a weight store that slows down beyond a number of concurrent loads, and delayed
+// load reports. It uses no network, processes or cluster, and is deterministic for
+// a given seed.
 //
 //	go test -bench Policy -benchtime 1x ./coord/experiment
 package experiment
@@ -14,82 +15,88 @@
 	"time"
 )
 
-// Deployment is the size and demand of one site.
+// Deployment describes the size and demand of one site.
 type Deployment struct {
 	Name string
-	// Engines and Services are the counts of backend servers.
+	// Engines and Services are the numbers of backend servers of each kind.
 	Engines  int
 	Services int
 	Adapters int
 	// Slots is the number of adapter slots of an engine.
 	Slots int
-	// Capacity is the most requests in one batch of an engine.
+	// Capacity is the maximum number of requests in one batch of an engine.
 	Capacity int
-	// Rate is requests a second to engines; ServiceRate to plain services.
+	// Rate is the number of requests per second to engines, ServiceRate that to
+	// plain services.
 	Rate        float64
 	ServiceRate float64
-	// Skew is the Zipf exponent of the adapters' popularity.
+	// Skew is the Zipf exponent of the adapter popularity.
 	Skew float64
-	// Tokens is the mean length of an answer, geometrically distributed.
+	// Tokens is the mean length of an answer in tokens, geometrically
+	// distributed.
 	Tokens float64
-	// Packing is the deployment's setting.
+	// Packing is the packing setting of the deployment.
 	Packing float64
-	// Conversations is how many an adapter has under way; 0 leaves prompts out.
+	// Conversations is the number of concurrent conversations of an adapter; 0
+	// disables prompts.
 	Conversations int
 }
 
 const (
 	// tokenTime is the time between tokens.
 	tokenTime = 29 * time.Millisecond
-	// serviceTime is the mean time of a call to a plain service.
+	// serviceTime is the mean duration of a call to a plain service.
 	serviceTime = 50 * time.Millisecond
-	// storeLoadTime and storeKnee describe the weight store.
+	// storeLoadTime is the duration of a load from the weight store while at most
+	// storeKnee loads are in flight.
 	storeLoadTime = 250 * time.Millisecond
 	storeKnee     = 8
-	// hop is the one-way time between two processes.
+	// hop is the one-way latency between two processes.
 	hop       = time.Millisecond
 	contracts = 20
-	// patience is the time to start within which a request counts as served
-	// in time for the fairness among contracts.
-	patience    = time.Second
+	// startTarget is the time within which a request must start to count as
+	// served in time for the fairness among contracts.
+	startTarget = time.Second
 	maxAttempts = 3
-	// maxDeclines is how many servers without a slot a request tries before
-	// it waits for one.
+	// maxDeclines is the number of servers without a free slot that a request
+	// tries before it waits for a slot.
 	maxDeclines = 4
 	queueBound  = 256
 	tickEvery   = 250 * time.Millisecond
 	renewEvery  = 5 * time.Second
-	// warmUp is not measured.
+	// warmUp is the initial period that is excluded from the measurements.
 	warmUp = 60 * time.Second
 )
 
-// Scenario is what happens to a deployment.
+// Scenario describes the events and reporting conditions of a run.
 type Scenario struct {
 	Name string
-	// Length is the virtual time, warm-up included.
+	// Length is the virtual duration, including the warm-up.
 	Length time.Duration
-	// At is when the event of the scenario comes.
+	// At is the time of the scenario's event.
 	At time.Duration
 	// Shift permutes the popularity of all adapters.
 	Shift bool
-	// Restart restarts a third of the engines, cold.
+	// Restart restarts a third of the engines with empty caches and slots.
 	Restart bool
 	// SlowStore lowers the knee of the weight store to 1 for two minutes.
 	SlowStore bool
-	// Fading lowers the demand linearly to a quarter.
+	// Fading reduces the demand linearly to a quarter.
 	Fading bool
-	// StaleEvery is the time between reports of half of the servers.
+	// StaleEvery is the interval between the reports of half of the servers, if
+	// above 0.
 	StaleEvery time.Duration
-	// ReportEvery is the time between reports; Together sends all at once.
+	// ReportEvery is the interval between reports. Together makes all servers
+	// report at the same time.
 	ReportEvery time.Duration
 	Together    bool
 	Entries     int
 }
 
-// Deployments are the two users at their present sizes. Capacity, slots,
-// answer length and demand are assumptions: demand is a third and a quarter of
-// the engines' batches, and the skew gives about 4 loads a second when
-// requests go where their adapter is.
+// Deployments returns the two deployments at their current sizes. Capacity, slots,
+// answer length and demand are assumptions: the demand is a third and a quarter of
+// the engines' batches, and the skew gives about 4 loads per second if requests go
+// to engines that hold their adapter.
 func Deployments() []Deployment {
 	return []Deployment{
 		{Name: "amman", Engines: 18, Services: 4, Adapters: 3000, Slots: 8, Capacity: 16, Rate: 40, ServiceRate: 8, Skew: 1.2, Tokens: 80, Packing: 0.2},
@@ -97,7 +104,7 @@
 	}
 }
 
-// Scenarios are the conditions under which policies are compared.
+// Scenarios returns the conditions under which policies are compared.
 func Scenarios() []Scenario {
 	base := Scenario{Length: 6 * time.Minute, At: 2 * time.Minute, ReportEvery: 500 * time.Millisecond, Entries: 4}
 	with := func(name string, change func(*Scenario)) Scenario {
@@ -117,7 +124,8 @@
 	}
 }
 
-// Run simulates one policy in virtual time. Equal arguments give equal results.
+// Run simulates one policy in virtual time. The result is deterministic for given
+// arguments.
 func Run(d Deployment, s Scenario, p Policy, seed uint64) Result {
 	w := newWorld(d, s, p, seed)
 	w.start()
@@ -125,7 +133,7 @@
 	return w.meter.result(w)
 }
 
-// event is something that happens at a virtual time.
+// event is a function call scheduled at a virtual time.
 type event struct {
 	at    time.Duration
 	order uint64
@@ -151,18 +159,18 @@
 	return x
 }
 
-// clock runs events in virtual time.
+// clock executes events in virtual time.
 type clock struct {
-	at      time.Duration
-	pending events
-	orders  uint64
+	at        time.Duration
+	pending   events
+	scheduled uint64
 }
 
 func (c *clock) now() time.Time { return time.Unix(0, 0).Add(c.at) }
 
 func (c *clock) after(d time.Duration, do func()) {
-	c.orders++
-	heap.Push(&c.pending, event{at: c.at + d, order: c.orders, do: do})
+	c.scheduled++
+	heap.Push(&c.pending, event{at: c.at + d, order: c.scheduled, do: do})
 }
 
 func (c *clock) every(d time.Duration, do func()) {
--- a/coord/experiment/experiment_test.go
+++ b/coord/experiment/experiment_test.go
@@ -11,20 +11,20 @@
 	return s
 }
 
-func TestOneSeedGivesOneResult(t *testing.T) {
+func TestRunIsDeterministic(t *testing.T) {
 	for _, s := range Scenarios() {
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
-			first := Run(Deployments()[0], short(s), Ours(), 7)
-			second := Run(Deployments()[0], short(s), Ours(), 7)
+			first := Run(Deployments()[0], short(s), Shipped(), 7)
+			second := Run(Deployments()[0], short(s), Shipped(), 7)
 			if first != second {
-				t.Errorf("%+v and %+v", first, second)
+				t.Errorf("results differ: %+v and %+v", first, second)
 			}
 		})
 	}
 }
 
-func TestStoreSlowsBeyondItsKnee(t *testing.T) {
+func TestStoreSlowsBeyondKnee(t *testing.T) {
 	for _, c := range []struct {
 		loads int
 		want  time.Duration
@@ -44,7 +44,7 @@
 
 const seed = 1
 
-// BenchmarkPolicy runs every policy and the bound on the same arrivals.
+// BenchmarkPolicy runs all compared policies and the bound on the same arrivals.
 func BenchmarkPolicy(b *testing.B) {
 	for _, d := range Deployments() {
 		for _, s := range Scenarios() {
@@ -53,8 +53,8 @@
 	}
 }
 
-// BenchmarkPrefix compares the shipped policy with one that is blind to prefix
-// caches, and with one that also gets cache events, where prompts share
+// BenchmarkPrefix compares the production policy with one that ignores prefix
+// caches, and with one that also receives cache events, on prompts that share
 // prefixes.
 func BenchmarkPrefix(b *testing.B) {
 	for _, d := range Deployments() {
@@ -68,7 +68,7 @@
 }
 
 func comparePrefix(b *testing.B, name string, d Deployment, s Scenario, seed uint64) {
-	for _, p := range []Policy{WithoutPrefix(), Ours(), WithEvents()} {
+	for _, p := range []Policy{WithoutPrefix(), Shipped(), WithEvents()} {
 		b.Run(name+"/"+p.Name, func(b *testing.B) {
 			for b.Loop() {
 				r := Run(d, s, p, seed)
@@ -79,8 +79,8 @@
 	}
 }
 
-// BenchmarkAssumptions varies what the users' pages do not say, under steady
-// load at the first deployment.
+// BenchmarkAssumptions varies the assumed parameters under steady load at the first
+// deployment.
 func BenchmarkAssumptions(b *testing.B) {
 	steady := Scenarios()[0]
 	for _, v := range []struct {
@@ -107,7 +107,7 @@
 }
 
 func compare(b *testing.B, name string, d Deployment, s Scenario, seed uint64) {
-	for _, p := range []Policy{Naive(), ResidentFirst(), Ours()} {
+	for _, p := range []Policy{Naive(), ResidentFirst(), Shipped()} {
 		b.Run(name+"/"+p.Name, func(b *testing.B) {
 			for b.Loop() {
 				report(b, Run(d, s, p, seed))
@@ -134,12 +134,12 @@
 	b.ReportMetric(float64(r.Failed), "failed")
 }
 
-// One adapter takes more than an engine's batch. Without copies its callers
-// would queue while other engines idle.
+// The requests of one adapter exceed an engine's batch. Without copies on other
+// engines its callers would queue while other engines are idle.
 func TestAdapterHotterThanOneBatchIsCopied(t *testing.T) {
 	d := Deployments()[0]
 	d.Skew = 1.6
-	w := newWorld(d, Scenarios()[0], Ours(), seed)
+	w := newWorld(d, Scenarios()[0], Shipped(), seed)
 	w.start()
 	w.run(2 * time.Minute)
 	hottest, copies := fmt.Sprintf("adapter-%d", w.popularity.order[0]), 0
--- a/coord/experiment/fakes.go
+++ b/coord/experiment/fakes.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// store is a weight store: loads share it equally, each at full speed while no
-// more than knee are in flight.
+// store is a weight store whose bandwidth is shared equally among the loads. Each
+// runs at full speed while at most knee loads are in flight.
 type store struct {
 	clock   *clock
 	knee    int
@@ -18,21 +18,21 @@
 }
 
 type transfer struct {
-	left time.Duration
-	done func()
+	remaining time.Duration
+	done      func()
 }
 
 func newStore(c *clock) *store {
 	return &store{clock: c, knee: storeKnee, loads: make(map[uint64]*transfer)}
 }
 
-// begin starts a load; the returned function abandons it.
+// begin starts a load and returns a function that cancels it.
 func (s *store) begin(done func()) func() {
 	s.advance()
 	s.last++
 	s.started++
 	id := s.last
-	s.loads[id] = &transfer{left: storeLoadTime, done: done}
+	s.loads[id] = &transfer{remaining: storeLoadTime, done: done}
 	s.schedule()
 	return func() {
 		s.advance()
@@ -55,11 +55,11 @@
 	progress := time.Duration(float64(s.clock.at-s.updated) * s.speed())
 	s.updated = s.clock.at
 	for _, t := range s.loads {
-		t.left -= progress
+		t.remaining -= progress
 	}
 }
 
-// schedule plans the end of the load with the least left.
+// schedule schedules the completion of the load with the least remaining time.
 func (s *store) schedule() {
 	s.version++
 	version := s.version
@@ -67,7 +67,7 @@
 	if !found {
 		return
 	}
-	left := max(s.loads[id].left, 0)
+	left := max(s.loads[id].remaining, 0)
 	s.clock.after(time.Duration(float64(left)/s.speed()), func() {
 		if version != s.version {
 			return
@@ -83,35 +83,35 @@
 func (s *store) next() (uint64, bool) {
 	best, found := uint64(0), false
 	for id, t := range s.loads {
-		if !found || t.left < s.loads[best].left || t.left == s.loads[best].left && id < best {
+		if !found || t.remaining < s.loads[best].remaining || t.remaining == s.loads[best].remaining && id < best {
 			best, found = id, true
 		}
 	}
 	return best, found
 }
 
-// batch is an engine or a plain service: up to capacity requests run at once,
-// others queue in order.
+// batch is an engine or a plain service. Up to capacity requests run at once,
+// others wait in a FIFO queue.
 type batch struct {
 	clock    *clock
 	capacity int
 	running  int
 	queue    []*job
 	jobs     []*job
-	// busy and filled are integrals over time, in capacity-seconds, of the
-	// steps that ran and of the places in them that were used.
+	// busy and filled are integrals over time, in place-seconds: busy of the
+	// capacity while any request ran, filled of the places that were used.
 	busy, filled float64
 	updated      time.Duration
 	lastActive   time.Duration
 }
 
 type job struct {
-	length time.Duration
-	dead   bool
-	begun  func()
-	done   func()
-	// cut is called when a crash ends the job.
-	cut func()
+	length    time.Duration
+	cancelled bool
+	started   func()
+	done      func()
+	// aborted is called if a crash ends the job.
+	aborted func()
 }
 
 func newBatch(c *clock, capacity int) *batch {
@@ -140,12 +140,12 @@
 	b.running++
 	b.lastActive = b.clock.at
 	b.jobs = append(b.jobs, j)
-	j.begun()
+	j.started()
 	b.clock.after(j.length, func() { b.end(j) })
 }
 
 func (b *batch) end(j *job) {
-	if j.dead {
+	if j.cancelled {
 		return
 	}
 	b.account()
@@ -160,13 +160,13 @@
 	j.done()
 }
 
-// crash cuts every request.
+// crash aborts all running and queued requests.
 func (b *batch) crash() {
 	b.account()
 	lost := slices.Concat(b.jobs, b.queue)
 	b.jobs, b.queue, b.running = nil, nil, 0
 	for _, j := range lost {
-		j.dead = true
-		j.cut()
+		j.cancelled = true
+		j.aborted()
 	}
 }
--- a/coord/experiment/meter.go
+++ b/coord/experiment/meter.go
@@ -7,32 +7,35 @@
 	"github.com/rosemarypass/rosemarypass/coord/catalogue"
 )
 
-// Result is what one run measured, after the warm-up.
+// Result contains the measurements of one run after the warm-up.
 type Result struct {
 	// StallP50 to StallP99 are quantiles, over all requests to engines, of the
-	// time a request waits for its adapter to arrive.
+	// time that a request waits for its adapter to be loaded.
 	StallP50, StallP95, StallP99 time.Duration
-	// Stalled is the share of requests that waited for an adapter at all.
+	// Stalled is the share of requests that waited for an adapter.
 	Stalled float64
-	// StartP99 is the 99th percentile of the time from arrival to the batch,
-	// stall and queue included.
+	// StartP99 is the 99th percentile of the time from arrival to the start in the
+	// batch, including stall and queueing.
 	StartP99 time.Duration
-	// Occupancy is the share of batch places used in the steps that ran.
+	// Occupancy is the share of batch places that were used while a batch ran.
 	Occupancy float64
-	// LoadsPerRequest counts loads begun at the weight store.
+	// LoadsPerRequest is the number of loads started at the weight store per
+	// request.
 	LoadsPerRequest float64
-	// ServersInUse is the mean number of engines that ran a step within 10 s.
+	// ServersInUse is the mean number of engines that ran a request within the
+	// last 10 s.
 	ServersInUse float64
-	// Fairness is Jain's index over contracts of the share of requests that
-	// started within a second.
+	// Fairness is Jain's fairness index, over contracts, of the share of requests
+	// that started within one second.
 	Fairness float64
-	// Requests and Failed count requests to engines.
+	// Requests is the number of requests to engines, Failed that of failed ones.
 	Requests, Failed int
-	// PrefixHits is the share of prompt blocks that engines held.
+	// PrefixHits is the share of prompt blocks found in the engines' prefix
+	// caches.
 	PrefixHits float64
 }
 
-// meter collects measurements.
+// meter collects the measurements of a run.
 type meter struct {
 	stalls, starts []time.Duration
 	stalled        int
@@ -43,11 +46,11 @@
 	loadsAtWarmUp  int
 	warm           bool
 	inUse, samples int
-	trace          []demand
+	trace          []arrival
 }
 
-// demand is one request as the bound needs it.
-type demand struct {
+// arrival is one request as recorded for Bound.
+type arrival struct {
 	ref    catalogue.Ref
 	at     time.Duration
 	length time.Duration
@@ -55,8 +58,8 @@
 
 func newMeter() *meter { return &meter{} }
 
-func (m *meter) demand(_ *world, r *request) {
-	m.trace = append(m.trace, demand{ref: r.ref, at: r.arrived, length: r.length})
+func (m *meter) recordArrival(_ *world, r *request) {
+	m.trace = append(m.trace, arrival{ref: r.ref, at: r.arrived, length: r.length})
 }
 
 func (m *meter) started(w *world, r *request) {
@@ -66,7 +69,7 @@
 	wait := w.at - r.arrived
 	m.requests++
 	m.total[r.contract]++
-	if wait <= patience {
+	if wait <= startTarget {
 		m.inTime[r.contract]++
 	}
 	if r.stall > 0 {
@@ -87,7 +90,7 @@
 	m.starts = append(m.starts, w.at-r.arrived)
 }
 
-// inUseWithin is how recently an engine must have run a step to be in use.
+// inUseWithin is how recently an engine must have run a request to be in use.
 const inUseWithin = 10 * time.Second
 
 func (m *meter) sample(w *world) func() {
@@ -138,8 +141,8 @@
 	}
 }
 
-// countWaiting counts requests that still wait at the end, else the worst
-// policy would look best.
+// countWaiting includes the requests that are still waiting at the end of the run.
+// Without them the policy with the longest waits would get the best result.
 func (m *meter) countWaiting(w *world) {
 	for _, s := range w.servers {
 		for _, waiting := range s.waiting {
--- a/coord/experiment/policy.go
+++ b/coord/experiment/policy.go
@@ -11,7 +11,7 @@
 	"github.com/rosemarypass/rosemarypass/coord/slots"
 )
 
-// Chooser is what an entry asks for a server; placement.Selector is one.
+// Chooser selects servers for an entry. placement.Selector implements it.
 type Chooser interface {
 	Observe(announced []membership.Announcement, now time.Time)
 	Pick(request placement.Request, now time.Time) (placement.Server, bool)
@@ -22,7 +22,7 @@
 	CacheEvent(event prefixcache.Event)
 }
 
-// Permits is what an agent asks before a load; broker.Broker is one.
+// Permits grants load permits to agents. broker.Broker implements it.
 type Permits interface {
 	Ask(ask broker.Ask, now time.Time) []broker.Grant
 	Return(key broker.Key, now time.Time) []broker.Grant
@@ -30,21 +30,23 @@
 	Tick(now time.Time) []broker.Grant
 }
 
-// Policy is one set of decisions.
+// Policy is one combination of placement, slot and permit policies.
 type Policy struct {
 	Name string
-	// Chooser makes the chooser of one entry, Permits the broker of the site.
+	// Chooser returns a new chooser for one entry, Permits a new broker for the
+	// site.
 	Chooser func(d Deployment, entry uint64) Chooser
 	Slots   slots.Options
-	// Patient requests never go elsewhere for want of a slot.
+	// Patient makes requests wait for a slot instead of trying another server.
 	Patient bool
 	Permits func() Permits
-	// CacheEvents reach the entries with the load reports, a tenth of them lost.
+	// CacheEvents sends cache events to the entries with the load reports; a tenth
+	// of them are lost.
 	CacheEvents bool
 }
 
-// Naive sends each request to the least loaded server, evicts the least
-// recently used adapter and loads at will.
+// Naive sends each request to the least loaded server, evicts the least recently
+// used adapter and does not limit loads.
 func Naive() Policy {
 	return Policy{
 		Name: "naive",
@@ -55,12 +57,12 @@
 		},
 		Slots:   slots.Options{Eviction: slots.EvictLeastRecent, Patience: time.Hour},
 		Patient: true,
-		Permits: func() Permits { return atWill{} },
+		Permits: func() Permits { return unlimited{} },
 	}
 }
 
-// ResidentFirst is the naive version but for a server's preference by one
-// whole batch when it holds the adapter.
+// ResidentFirst is Naive, except that it prefers a server that holds the adapter as
+// if it had one whole batch less load.
 func ResidentFirst() Policy {
 	p := Naive()
 	p.Name = "resident-first"
@@ -72,8 +74,8 @@
 	return p
 }
 
-// Ours is the shipped policy.
-func Ours() Policy {
+// Shipped is the production policy.
+func Shipped() Policy {
 	return Policy{
 		Name: "ours",
 		Chooser: func(d Deployment, entry uint64) Chooser {
@@ -83,16 +85,16 @@
 	}
 }
 
-// WithEvents is the shipped policy where cache events reach the entries.
+// WithEvents is the production policy with cache events sent to the entries.
 func WithEvents() Policy {
-	p := Ours()
+	p := Shipped()
 	p.Name, p.CacheEvents = "with-events", true
 	return p
 }
 
-// WithoutPrefix is the shipped policy blind to prefix caches.
+// WithoutPrefix is the production policy without regard to prefix caches.
 func WithoutPrefix() Policy {
-	p := Ours()
+	p := Shipped()
 	p.Name = "without-prefix"
 	p.Chooser = func(d Deployment, entry uint64) Chooser {
 		filters := []placement.Filter{placement.Serves, placement.NotLeaving, placement.NotExcluded}
@@ -114,12 +116,12 @@
 	return 0
 }
 
-// atWill permits every load at once.
-type atWill struct{}
+// unlimited grants every permit immediately.
+type unlimited struct{}
 
-func (atWill) Ask(ask broker.Ask, now time.Time) []broker.Grant {
+func (unlimited) Ask(ask broker.Ask, now time.Time) []broker.Grant {
 	return []broker.Grant{{Key: ask.Key, Expires: now.Add(time.Hour)}}
 }
-func (atWill) Return(broker.Key, time.Time) []broker.Grant                { return nil }
-func (atWill) Loaded(broker.Key, time.Duration, time.Time) []broker.Grant { return nil }
-func (atWill) Tick(time.Time) []broker.Grant                              { return nil }
+func (unlimited) Return(broker.Key, time.Time) []broker.Grant                { return nil }
+func (unlimited) Loaded(broker.Key, time.Duration, time.Time) []broker.Grant { return nil }
+func (unlimited) Tick(time.Time) []broker.Grant                              { return nil }
--- a/coord/experiment/prompts.go
+++ b/coord/experiment/prompts.go
@@ -9,63 +9,66 @@
 	"github.com/rosemarypass/rosemarypass/coord/prefixcache"
 )
 
-// What the users' pages do not say of prompts; all are assumptions.
+// Parameters of prompts. All are assumptions, because no figures are available for
+// the deployments.
 const (
-	// blockTime is how long an engine computes a block: 64 tokens, 5,000 a second.
+	// blockTime is the time in which an engine computes a block of 64 tokens, at
+	// 5,000 tokens per second.
 	blockTime = 13 * time.Millisecond
-	// sharedBlocks begin every prompt of an adapter.
+	// sharedBlocks is the number of blocks that begin every prompt of an adapter.
 	sharedBlocks = 4
-	// turnBlocks is what a turn adds to its conversation.
+	// turnBlocks is the number of blocks that a turn adds to its conversation.
 	turnBlocks = 2
-	// maxTurns ends a conversation; a new one takes its place.
+	// maxTurns is the number of turns after which a new conversation replaces the
+	// current one.
 	maxTurns = 8
-	// cacheBlocks is what an engine's prefix cache holds: 64,000 tokens.
+	// cacheBlocks is the capacity of an engine's prefix cache: 64,000 tokens.
 	cacheBlocks = 1000
 )
 
-// talk draws prompts: each request is the next turn of one of its adapter's
-// conversations, with all turns before it.
-type talk struct {
+// promptSource generates prompts. Each request is the next turn of one of its
+// adapter's conversations and includes all previous turns.
+type promptSource struct {
 	random        *rand.Rand
 	conversations int
 	blocks        uint64
-	adapters      map[catalogue.Ref]*adapterTalk
+	adapters      map[catalogue.Ref]*adapterPrompts
 }
 
-type adapterTalk struct {
+type adapterPrompts struct {
 	shared []prefixcache.Block
-	under  [][]prefixcache.Block
+	active [][]prefixcache.Block
 }
 
-func newTalk(random *rand.Rand, conversations int) *talk {
-	return &talk{random: random, conversations: conversations, adapters: make(map[catalogue.Ref]*adapterTalk)}
+func newPromptSource(random *rand.Rand, conversations int) *promptSource {
+	return &promptSource{random: random, conversations: conversations, adapters: make(map[catalogue.Ref]*adapterPrompts)}
 }
 
-func (t *talk) prompt(ref catalogue.Ref) []prefixcache.Block {
-	a, known := t.adapters[ref]
+func (s *promptSource) prompt(ref catalogue.Ref) []prefixcache.Block {
+	a, known := s.adapters[ref]
 	if !known {
-		a = &adapterTalk{shared: t.extend(nil, sharedBlocks), under: make([][]prefixcache.Block, t.conversations)}
-		t.adapters[ref] = a
+		a = &adapterPrompts{shared: s.extend(nil, sharedBlocks), active: make([][]prefixcache.Block, s.conversations)}
+		s.adapters[ref] = a
 	}
-	i := t.random.IntN(t.conversations)
-	before := a.under[i]
+	i := s.random.IntN(s.conversations)
+	before := a.active[i]
 	if before == nil || len(before) >= sharedBlocks+maxTurns*turnBlocks {
 		before = a.shared
 	}
-	a.under[i] = t.extend(before, turnBlocks)
-	return a.under[i]
+	a.active[i] = s.extend(before, turnBlocks)
+	return a.active[i]
 }
 
-func (t *talk) extend(before []prefixcache.Block, n int) []prefixcache.Block {
+func (s *promptSource) extend(before []prefixcache.Block, n int) []prefixcache.Block {
 	blocks := append([]prefixcache.Block(nil), before...)
 	for range n {
-		t.blocks++
-		blocks = append(blocks, prefixcache.Block(t.blocks))
+		s.blocks++
+		blocks = append(blocks, prefixcache.Block(s.blocks))
 	}
 	return blocks
 }
 
-// prefixes is an engine's prefix cache: the least recently used block goes.
+// prefixes is an engine's prefix cache, which evicts the least recently used block.
 type prefixes struct {
 	// stored and removed are the changes since the last event.
 	stored, removed []prefixcache.Block
@@ -77,7 +80,8 @@
 	return &prefixes{recent: list.New(), held: make(map[prefixcache.Block]*list.Element)}
 }
 
-// compute returns how many blocks from the start were held; all are then.
+// compute returns how many blocks at the start of the prompt were cached, and
+// caches all of its blocks.
 func (p *prefixes) compute(prompt []prefixcache.Block) int {
 	held := 0
 	for held < len(prompt) && p.held[prompt[held]] != nil {
@@ -104,10 +108,10 @@
 	}
 }
 
-// lostEvents is the share of cache events that no entry gets.
-const lostEvents = 0.1
+// eventLossRate is the share of cache events that reach no entry.
+const eventLossRate = 0.1
 
-// publishCache sends what changed in an engine's prefix cache to all entries.
+// publishCache sends the changes of an engine's prefix cache to all entries.
 func (w *world) publishCache(s *server) {
 	if !w.policy.CacheEvents || !s.engine {
 		return
@@ -116,7 +120,7 @@
 	event := prefixcache.Event{Server: s.name, Epoch: s.starts, Sequence: s.events, Stored: p.stored, Removed: p.removed}
 	s.events++
 	p.stored, p.removed = nil, nil
-	if w.losses.Float64() < lostEvents {
+	if w.losses.Float64() < eventLossRate {
 		return
 	}
 	w.after(reportDelay, func() {
--- a/coord/experiment/world.go
+++ b/coord/experiment/world.go
@@ -20,7 +20,7 @@
 	servicePool = "desk"
 )
 
-// world is one run.
+// world is the state of one simulation run.
 type world struct {
 	clock
 	deployment Deployment
@@ -38,11 +38,11 @@
 	version    int
 	lastID     slots.RequestID
 	meter      *meter
-	talk       *talk
+	prompts    *promptSource
 	losses     *rand.Rand
 }
 
-// request is one call on its way.
+// request is one request in progress.
 type request struct {
 	ref      catalogue.Ref
 	service  bool
@@ -52,14 +52,14 @@
 	// stall is the time spent waiting for an adapter so far.
 	stall    time.Duration
 	attempts int
-	// declined lists the servers that had no slot.
+	// declined lists the servers that had no free slot.
 	declined []string
 	tried    []string
 	entry    *entry
 	prompt   []prefixcache.Block
 }
 
-// entry shows its chooser the reports when it next needs them.
+// entry passes new load reports to its chooser before it picks a server.
 type entry struct {
 	Chooser
 	version int
@@ -78,7 +78,7 @@
 	}
 	w.popularity = newZipf(d.Adapters, d.Skew, newRand(seed, 3))
 	w.losses = newRand(seed, 5)
-	w.talk = newTalk(newRand(seed, 4), d.Conversations)
+	w.prompts = newPromptSource(newRand(seed, 4), d.Conversations)
 	w.store = newStore(&w.clock)
 	for i := range d.Engines + d.Services {
 		server := newServer(w, i)
@@ -111,10 +111,10 @@
 	w.every(time.Second, w.meter.sample(w))
 	w.nextArrival(false)
 	w.nextArrival(true)
-	w.after(w.scenario.At, w.strike)
+	w.after(w.scenario.At, w.triggerEvent)
 }
 
-// startReports publishes a server's load again and again.
+// startReports publishes a server's load periodically.
 func (w *world) startReports(i int, server *server) {
 	interval := w.scenario.ReportEvery
 	if w.scenario.StaleEvery > 0 && i%2 == 0 {
@@ -136,10 +136,12 @@
 	})
 }
 
-// reportDelay is the time from a report's making to the entries.
+// reportDelay is the time from the creation of a report to its arrival at the
+// entries.
 const reportDelay = 100 * time.Millisecond
 
-func (w *world) strike() {
+// triggerEvent applies the scenario's event.
+func (w *world) triggerEvent() {
 	if w.scenario.Shift {
 		w.popularity.shuffle()
 	}
@@ -154,7 +156,8 @@
 	}
 }
 
-// fadingShare is the share of demand that is left at the end of fading.
+// fadingShare is the share of the demand that remains at the end of a Fading
+// scenario.
 const fadingShare = 0.25
 
 func (w *world) rate(service bool) float64 {
@@ -188,24 +191,24 @@
 	r.contract = adapter % contracts
 	tokens := math.Ceil(w.arrivals.ExpFloat64() * w.deployment.Tokens)
 	r.length = time.Duration(tokens) * tokenTime
-	w.meter.demand(w, r)
+	w.meter.recordArrival(w, r)
 	if w.deployment.Conversations > 0 {
-		r.prompt = w.talk.prompt(r.ref)
+		r.prompt = w.prompts.prompt(r.ref)
 	}
 	return r
 }
 
-// send offers a request to a server, as an entry does.
+// send picks a server for a request and sends the request there, as an entry does.
 func (w *world) send(r *request) {
-	question := placement.Request{Kind: membership.KindEngine, Ref: r.ref, BaseModel: baseModel, Prefix: r.prompt, Exclude: slices.Concat(r.tried, r.declined)}
+	query := placement.Request{Kind: membership.KindEngine, Ref: r.ref, BaseModel: baseModel, Prefix: r.prompt, Exclude: slices.Concat(r.tried, r.declined)}
 	if r.service {
-		question = placement.Request{Kind: membership.KindService, Pool: servicePool, Exclude: r.tried}
+		query = placement.Request{Kind: membership.KindService, Pool: servicePool, Exclude: r.tried}
 	}
 	if r.entry.version != w.version {
 		r.entry.version = w.version
 		r.entry.Observe(w.announced, w.now())
 	}
-	chosen, ok := r.entry.Pick(question, w.now())
+	chosen, ok := r.entry.Pick(query, w.now())
 	if !ok || r.attempts == maxAttempts {
 		w.meter.failed(w, r)
 		return
@@ -216,7 +219,7 @@
 	w.after(hop, func() { w.byName[chosen.Server].receive(r) })
 }
 
-// refused takes a request back that did not run on a server.
+// refused retries a request that a server did not run.
 func (w *world) refused(r *request, s *server, reason slots.Reason) {
 	w.after(hop, func() {
 		if reason == slots.ReasonNoSlot {
@@ -237,7 +240,7 @@
 	}
 }
 
-// server is a backend server and the agent beside it.
+// server is a backend server with its agent.
 type server struct {
 	world    *world
 	name     string
@@ -245,7 +248,8 @@
 	table    *slots.Table
 	batch    *batch
 	prefixes *prefixes
-	// starts and events number the engine's cache events.
+	// starts and events are the epoch and the sequence number of the engine's
+	// cache events.
 	starts, events uint64
 	waiting        map[slots.RequestID]*waiter
 	loads          map[slots.OrderID]func()
@@ -253,8 +257,8 @@
 	sequence       uint64
 	loadTime       time.Duration
 	asked          map[slots.OrderID]time.Duration
-	// wanted are the loads that wait for a permit.
-	wanted []slots.Ask
+	// pendingAsks are the loads that wait for a permit.
+	pendingAsks []slots.Ask
 }
 
 type waiter struct {
@@ -312,17 +316,17 @@
 		case slots.Start:
 			s.begin(a.Request)
 		case slots.Refuse:
-			r := s.take(a.Request)
+			r := s.dequeue(a.Request)
 			w.refused(r, s, a.Reason)
 		case slots.Ask:
 			if _, again := s.asked[a.Order]; !again {
 				s.asked[a.Order] = w.at
 			}
-			s.unwant(a.Order)
-			s.wanted = append(s.wanted, a)
+			s.dropAsk(a.Order)
+			s.pendingAsks = append(s.pendingAsks, a)
 			s.ask(a)
 		case slots.Return:
-			s.giveBack(a.Order)
+			s.returnPermit(a.Order)
 		case slots.Load:
 			s.load(a)
 		case slots.Unload:
@@ -337,22 +341,23 @@
 	w.after(hop, func() { w.deliver(w.permits.Ask(ask, w.now())) })
 }
 
-// renew repeats the requests for permits, as agents do: the broker forgets silent ones.
+// renew repeats the requests for permits, as agents do, because the broker drops
+// requests that are not renewed.
 func (s *server) renew() {
-	for _, a := range s.wanted {
+	for _, a := range s.pendingAsks {
 		s.ask(a)
 	}
 }
 
-func (s *server) unwant(order slots.OrderID) {
-	s.wanted = slices.DeleteFunc(s.wanted, func(a slots.Ask) bool { return a.Order == order })
+func (s *server) dropAsk(order slots.OrderID) {
+	s.pendingAsks = slices.DeleteFunc(s.pendingAsks, func(a slots.Ask) bool { return a.Order == order })
 }
 
 func (s *server) key(order slots.OrderID) broker.Key {
 	return broker.Key{Agent: s.name, Incarnation: s.incarnation, Order: uint64(order)}
 }
 
-func (s *server) take(id slots.RequestID) *request {
+func (s *server) dequeue(id slots.RequestID) *request {
 	waiting := s.waiting[id]
 	delete(s.waiting, id)
 	waiting.request.stall += s.world.at - waiting.since
@@ -360,19 +365,19 @@
 }
 
 func (s *server) begin(id slots.RequestID) {
-	s.runJob(s.take(id), id)
+	s.runJob(s.dequeue(id), id)
 }
 
 func (s *server) runJob(r *request, id slots.RequestID) {
 	w := s.world
 	j := &job{length: r.length}
-	j.begun = func() {
+	j.started = func() {
 		w.meter.started(w, r)
 		held := s.prefixes.compute(r.prompt)
 		w.meter.computed(w, r, held)
 		j.length += time.Duration(len(r.prompt)-held) * blockTime
 	}
-	j.cut = func() { w.refused(r, s, slots.ReasonEngineRestarted) }
+	j.aborted = func() { w.refused(r, s, slots.ReasonEngineRestarted) }
 	j.done = func() {
 		s.perform(s.table.Release(id, w.now()))
 		w.after(hop, func() { r.entry.Finished(s.name, r.ref, j.length, w.now()) })
@@ -382,15 +387,15 @@
 
 func (s *server) granted(g broker.Grant) {
 	if g.Incarnation == s.incarnation {
-		s.unwant(slots.OrderID(g.Order))
+		s.dropAsk(slots.OrderID(g.Order))
 		s.perform(s.table.Granted(slots.OrderID(g.Order), s.world.now()))
 	}
 }
 
-func (s *server) giveBack(order slots.OrderID) {
+func (s *server) returnPermit(order slots.OrderID) {
 	w, key := s.world, s.key(order)
 	delete(s.asked, order)
-	s.unwant(order)
+	s.dropAsk(order)
 	if cancel, loading := s.loads[order]; loading {
 		cancel()
 		delete(s.loads, order)
@@ -398,7 +403,8 @@
 	w.after(hop, func() { w.deliver(w.permits.Return(key, w.now())) })
 }
 
-// loadGain is the weight of a new measurement of the load time.
+// loadGain is the weight of a new measurement in the moving average of the load
+// time.
 const loadGain = 0.2
 
 func (s *server) load(a slots.Load) {
@@ -414,8 +420,8 @@
 	})
 }
 
-// restart empties the engine: what ran is cut and its callers' entries send
-// it to another server.
+// restart restarts the engine with empty slots and caches. Its requests are aborted,
+// and the entries send them to other servers.
 func (s *server) restart() {
 	s.batch.crash()
 	s.prefixes = newPrefixes()
--- a/coord/experiment/zipf.go
+++ b/coord/experiment/zipf.go
@@ -6,7 +6,7 @@
 	"sort"
 )
 
-// zipf draws adapters with skewed popularity.
+// zipf draws adapters with Zipf-distributed popularity.
 type zipf struct {
 	cumulative []float64
 	order      []int
