--- a/coord/founding/founding.go
+++ b/coord/founding/founding.go
@@ -14,10 +14,10 @@
 	"github.com/rosemarypass/rosemarypass/coord/overlay"
 )
 
-// MostMembers is the maximum number of members of the log: each change costs its
+// MaxMembers is the maximum number of members of the log: each change costs its
 // leader a message to every member. It is the number of instances that the design
 // size reserves for control; 9 voters tolerate the loss of 4.
-const MostMembers = 9
+const MaxMembers = 9
 
 // Settle is how long a process waits after it has opened its disk, so that all
 // processes have heard of each other: they start within a few hundred
@@ -72,5 +72,5 @@
 	}
 	others = overlay.Spread(others, func(p Process) (string, string) { return p.DataCentre, p.Address })
 	founders = append([]Process{v.Self}, others...)
-	return founders[:min(len(founders), MostMembers)], true
+	return founders[:min(len(founders), MaxMembers)], true
 }
--- a/coord/founding/founding_test.go
+++ b/coord/founding/founding_test.go
@@ -70,15 +70,15 @@
 		all = append(all, p)
 	}
 	founders, found := Decide(View{Self: all[0], Bootstrap: true, Up: Settle, Known: all[1:]})
-	if !found || len(founders) != MostMembers {
-		t.Fatalf("founded = %v with %d members, want %d", found, len(founders), MostMembers)
+	if !found || len(founders) != MaxMembers {
+		t.Fatalf("founded = %v with %d members, want %d", found, len(founders), MaxMembers)
 	}
 	centres := make(map[string]int)
 	for _, p := range founders {
 		centres[p.DataCentre]++
 	}
 	for centre, n := range centres {
-		if len(centres) != 4 || n > MostMembers/2 {
+		if len(centres) != 4 || n > MaxMembers/2 {
 			t.Errorf("%d of the members are in %s of %d data centres", n, centre, len(centres))
 		}
 	}
@@ -86,7 +86,7 @@
 
 func TestFullLogOnlyReplacesMembers(t *testing.T) {
 	m := Membership{Self: "0", Cluster: "c", Losses: 1}
-	for i := range MostMembers {
+	for i := range MaxMembers {
 		id := fmt.Sprint(i)
 		m.Members = append(m.Members, voter(id, "a"+id))
 		m.Known = append(m.Known, seen(id, "a"+id, "c", 0))
--- a/coord/founding/members.go
+++ b/coord/founding/members.go
@@ -133,7 +133,7 @@
 		}
 		// A process that restarted with an empty disk replaces its former member
 		// even if the log is full.
-		if len(v.Members) >= MostMembers && !addresses[s.Address] {
+		if len(v.Members) >= MaxMembers && !addresses[s.Address] {
 			continue
 		}
 		return Change{Kind: ChangeAdd, Member: s.Member, Address: s.Address}
