--- a/coord/experiment/experiment_test.go
+++ b/coord/experiment/experiment_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// BenchmarkAssumptions varies the assumed parameters under steady load at the first
-// deployment.
+// BenchmarkAssumptions varies the parameters that the users' documentation does not
+// specify, under steady load at the first deployment.
 func BenchmarkAssumptions(b *testing.B) {
 	steady := Scenarios()[0]
 	for _, v := range []struct {
--- a/coord/experiment/prompts.go
+++ b/coord/experiment/prompts.go
@@ -9,8 +9,8 @@
 	"github.com/rosemarypass/rosemarypass/coord/prefixcache"
 )
 
-// Parameters of prompts. All are assumptions, because no figures are available for
-// the deployments.
+// Parameters of prompts. All are assumptions, because the users' documentation does
+// not specify them.
 const (
 	// blockTime is the time in which an engine computes a block of 64 tokens, at
 	// 5,000 tokens per second.
