--- a/internal/mesh/confirm.go
+++ b/internal/mesh/confirm.go
@@ -17,110 +17,112 @@
 )
 
 const (
-	// proofWait is how long a member of the log looks for a proof before it says
-	// that there is none, proofTimeout leaves its answer some time.
+	// proofWait is how long a member of the log seeks a proof before it reports that
+	// there is none; proofTimeout leaves additional time for its answer.
 	proofWait    = 700 * time.Millisecond
 	proofTimeout = proofWait + 300*time.Millisecond
-	// standingPause is the pause between two questions to a voter while a round lasts.
-	standingPause = 50 * time.Millisecond
-	// askAfter is how long a member looks for a proof before it asks others too.
-	askAfter = 150 * time.Millisecond
-	// proofsAsked is how many members a process without a log asks in one round: the
-	// first may be down or cut off. Each further one is asked hedge later for each
-	// process that may ask too: of a few all are asked at once, as nobody waits then
-	// for one that is down, and of many rarely more than the first.
-	proofsAsked = 3
-	hedge       = time.Millisecond
+	// standingInterval is the interval between two requests to a voter during a round.
+	standingInterval = 50 * time.Millisecond
+	// remoteProofDelay is how long a member seeks a proof on its own before it also asks
+	// others.
+	remoteProofDelay = 150 * time.Millisecond
+	// maxProofRequests is how many members a process without a log asks in one round: the
+	// first may be down or cut off. Each further request is delayed by hedgeDelay times
+	// the number of processes that may ask too. In a small deployment all are asked
+	// almost at once, so that none waits for a member that is down; in a large one rarely
+	// more than the first is asked.
+	maxProofRequests = 3
+	hedgeDelay       = time.Millisecond
 )
 
-// proofTries are the tries that found no proof, of all who ask the same few members.
-var proofTries = backoff.Options{First: 30 * time.Millisecond, Most: 2 * time.Second, Rate: 500}
+// proofBackoff paces rounds that found no proof, over all processes that ask the same few
+// members.
+var proofBackoff = backoff.Options{First: 30 * time.Millisecond, Most: 2 * time.Second, Rate: 500}
 
-// memberTries are the rounds of a member of the log, memberTries.First the pause
-// between two of them also where proofs are found.
-var memberTries = backoff.Options{First: 30 * time.Millisecond, Most: 500 * time.Millisecond}
+// memberBackoff paces the rounds of a member of the log. memberBackoff.First also applies
+// between rounds that succeed.
+var memberBackoff = backoff.Options{First: 30 * time.Millisecond, Most: 500 * time.Millisecond}
 
-// errUnproven means that nothing shows that the configuration held is not an old
-// one.
+// errUnproven means that nothing proves that the held configuration is not stale.
 var errUnproven = errors.New("no majority of the log has confirmed the configuration")
 
-// seekProof seeks a proof that what is held includes every change that was
-// acknowledged before the call. What the own disk or the first other process
-// holds at a start may be older than what was in force here a second ago.
-func (m *Mesh) seekProof(ctx context.Context) {
-	var trouble backoff.Trouble
+// confirmConfig retries until it proves that the held state includes every change that
+// was acknowledged before the call. At a start, the state on the local disk or at the
+// first other process may be older than what was in force here a second ago.
+func (m *Mesh) confirmConfig(ctx context.Context) {
+	var failures backoff.Trouble
 	for ctx.Err() == nil {
-		stood := m.pauses.count()
+		pausesBefore := m.pauses.count()
 		proven := m.newestWithin(ctx, 2*proofTimeout)
-		// A proof from before this process stood still says nothing of the time since.
-		if proven && m.pauses.count() == stood {
+		// A proof from before a pause of this process says nothing about the time since.
+		if proven && m.pauses.count() == pausesBefore {
 			m.documents.Confirm()
 			return
 		}
-		_ = wait.For(ctx, proofTries.Pause(trouble.Failed(time.Now()), m.size(), rand.Float64()))
+		_ = wait.For(ctx, proofBackoff.Pause(failures.Failed(time.Now()), m.size(), rand.Float64()))
 	}
 }
 
-func (m *Mesh) newestWithin(ctx context.Context, limit time.Duration) bool {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func (m *Mesh) newestWithin(ctx context.Context, timeout time.Duration) bool {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return m.Newest(ctx)
 }
 
-// Newest reports whether every change that was acknowledged before the call is in
-// force here, and brings what is missing. It is false when no majority of the log
-// can be asked before ctx ends.
+// Newest reports whether every change that was acknowledged before the call is in force
+// here, and fetches missing changes. It returns false when no majority of the log can be
+// reached before ctx ends.
 func (m *Mesh) Newest(ctx context.Context) bool { return m.prover.prove(ctx) }
 
-// proveOnce proves by the own part of the log, or by asking its members. A member
-// that is cut off from the other ones may still reach those who reach them.
+// proveOnce seeks a proof from the local part of the log or from other members. A member
+// that is cut off from the other members may still reach processes that reach them.
 func (m *Mesh) proveOnce() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), proofTimeout)
 	defer cancel()
-	if m.host == nil || !m.host.takesPart() {
-		return m.askProof(ctx)
+	if m.host == nil || !m.host.isMember() {
+		return m.requestProof(ctx)
 	}
-	own, others := make(chan bool, 1), make(chan bool, 1)
+	own, remote := make(chan bool, 1), make(chan bool, 1)
 	go func() { own <- m.host.prover.prove(ctx) }()
-	go func() { others <- wait.For(ctx, askAfter) == nil && m.askProof(ctx) }()
+	go func() { remote <- wait.For(ctx, remoteProofDelay) == nil && m.requestProof(ctx) }()
 	select {
 	case proven := <-own:
-		return proven || <-others
-	case proven := <-others:
+		return proven || <-remote
+	case proven := <-remote:
 		return proven || <-own
 	}
 }
 
-// askProof asks some members of the log for a state that is not an old one.
-func (m *Mesh) askProof(ctx context.Context) bool {
+// requestProof asks members of the log for a state that is proven fresh.
+func (m *Mesh) requestProof(ctx context.Context) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	members := m.members()
-	var given atomic.Bool
-	var asked sync.WaitGroup
-	apart := time.Duration(m.size()) * hedge
-	for i, member := range members[:min(len(members), proofsAsked)] {
-		asked.Go(func() {
-			if i > 0 && wait.For(ctx, time.Duration(i)*apart) != nil {
+	var proven atomic.Bool
+	var requests sync.WaitGroup
+	delay := time.Duration(m.size()) * hedgeDelay
+	for i, member := range members[:min(len(members), maxProofRequests)] {
+		requests.Go(func() {
+			if i > 0 && wait.For(ctx, time.Duration(i)*delay) != nil {
 				return
 			}
-			if m.askProofOf(ctx, member) == nil {
-				given.Store(true)
+			if m.requestProofFrom(ctx, member) == nil {
+				proven.Store(true)
 				cancel()
 			}
 		})
 	}
-	asked.Wait()
-	return given.Load()
+	requests.Wait()
+	return proven.Load()
 }
 
-func (m *Mesh) askProofOf(ctx context.Context, address string) error {
+func (m *Mesh) requestProofFrom(ctx context.Context, address string) error {
 	var reply pullReply
-	if err := m.ask(ctx, address, methodConfirm, m.request(), &reply); err != nil {
+	if err := m.call(ctx, address, methodConfirm, m.newPullRequest(), &reply); err != nil {
 		return err
 	}
 	if reply.Newer {
-		m.takePulled(reply.State, originRead+address)
+		m.applyPulled(reply.State, originRead+address)
 	}
 	if m.documents.Current().State.Index < reply.State.Index {
 		return errUnproven
@@ -128,7 +130,7 @@
 	return nil
 }
 
-func (h *logHost) takeConfirm(ctx context.Context, in pullRequest) (pullReply, error) {
+func (h *logHost) handleConfirm(ctx context.Context, in pullRequest) (pullReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, proofWait)
 	defer cancel()
 	if !h.prover.prove(ctx) {
@@ -137,7 +139,7 @@
 	return answerState(in, h.mesh.documents.Current().State), nil
 }
 
-func (h *logHost) takeStanding(context.Context, standingRequest) (freshness.Standing, error) {
+func (h *logHost) handleStanding(context.Context, standingRequest) (freshness.Standing, error) {
 	r := h.current.Load()
 	if r == nil {
 		return freshness.Standing{}, errors.New("the log is not open")
@@ -147,10 +149,10 @@
 	return standing, nil
 }
 
-// proveByVoters asks the leader for a confirmed read and all voters for their standings;
-// the first of the two that shows it is enough. With the second no leader is
-// needed: an acknowledged change lies in the logs of a majority.
-func (h *logHost) proveByVoters() bool {
+// proveByQuorum asks the leader for a confirmed read and all voters for their standings;
+// the first of the two that proves freshness suffices. The standings need no leader: an
+// acknowledged change is in the logs of a majority.
+func (h *logHost) proveByQuorum() bool {
 	r := h.current.Load()
 	if r == nil {
 		return false
@@ -162,18 +164,18 @@
 		_, err := r.ReadIndex(ctx)
 		reads <- err
 	}()
-	answers := h.askVoters(ctx)
-	known := make(map[string]freshness.Answer)
+	answers := h.pollVoters(ctx)
+	latest := make(map[string]freshness.Answer)
 	sent := time.Now()
 	for {
-		own, _ := h.takeStanding(ctx, standingRequest{})
-		known[h.mesh.options.Self.Address] = freshness.Answer{Address: h.mesh.options.Self.Address, Standing: own}
-		if h.whole(freshness.Round{Sent: sent, Answers: slices.Collect(maps.Values(known))}) {
+		own, _ := h.handleStanding(ctx, standingRequest{})
+		latest[h.mesh.options.Self.Address] = freshness.Answer{Address: h.mesh.options.Self.Address, Standing: own}
+		if h.upToDate(freshness.Round{Sent: sent, Answers: slices.Collect(maps.Values(latest))}) {
 			return true
 		}
 		select {
 		case answer := <-answers:
-			known[answer.Address] = answer
+			latest[answer.Address] = answer
 			if answer.ConfigIndex > h.mesh.documents.Current().State.Index {
 				h.mesh.pullOnce(ctx, answer.Address)
 			}
@@ -188,40 +190,40 @@
 	}
 }
 
-// whole reports whether the answers show that nothing is missing here.
-func (h *logHost) whole(round freshness.Round) bool {
+// upToDate reports whether the answers prove that no change is missing here.
+func (h *logHost) upToDate(round freshness.Round) bool {
 	tracker := freshness.NewTracker(freshness.Options{})
 	tracker.Advance(h.mesh.documents.Current().State.Index)
 	tracker.Probe(round)
 	return tracker.State(time.Now()).Kind == freshness.Fresh
 }
 
-// askVoters asks all other voters for their standings until ctx ends.
-func (h *logHost) askVoters(ctx context.Context) <-chan freshness.Answer {
+// pollVoters polls all other voters for their standings until ctx ends.
+func (h *logHost) pollVoters(ctx context.Context) <-chan freshness.Answer {
 	answers := make(chan freshness.Answer)
-	own, err := h.takeStanding(ctx, standingRequest{})
+	own, err := h.handleStanding(ctx, standingRequest{})
 	if err != nil {
 		return answers
 	}
 	for _, address := range own.Voters {
 		if address != h.mesh.options.Self.Address {
-			go h.mesh.askStandings(ctx, address, answers)
+			go h.mesh.pollStanding(ctx, address, answers)
 		}
 	}
 	return answers
 }
 
-// askStandings asks a voter again and again: it may start, or apply what it holds,
-// while the round lasts.
-func (m *Mesh) askStandings(ctx context.Context, address string, answers chan<- freshness.Answer) {
+// pollStanding polls a voter repeatedly: during the round it may start, or apply entries
+// that it already holds.
+func (m *Mesh) pollStanding(ctx context.Context, address string, answers chan<- freshness.Answer) {
 	for ctx.Err() == nil {
 		var standing freshness.Standing
-		if m.ask(ctx, address, methodStanding, standingRequest{}, &standing) == nil {
+		if m.call(ctx, address, methodStanding, standingRequest{}, &standing) == nil {
 			select {
 			case answers <- freshness.Answer{Address: address, Standing: standing}:
 			case <-ctx.Done():
 			}
 		}
-		_ = wait.For(ctx, standingPause)
+		_ = wait.For(ctx, standingInterval)
 	}
 }
--- a/internal/mesh/confirm_test.go
+++ b/internal/mesh/confirm_test.go
@@ -7,20 +7,20 @@
 	"github.com/rosemarypass/rosemarypass/coord/document"
 )
 
-// usable waits until a process acts by a configuration, and returns its version then.
-func (f *fleet) usable(i int) uint64 {
+// waitUsable waits until a process uses a configuration, and returns its version.
+func (f *fleet) waitUsable(i int) uint64 {
 	f.t.Helper()
-	var in *InForce
+	var config *ActiveConfig
 	eventually(f.t, func() bool {
-		in = f.nodes[i].Documents().Current()
-		return in.Usable()
+		config = f.nodes[i].Documents().Current()
+		return config.Usable()
 	})
-	return in.State.Version
+	return config.State.Version
 }
 
-// Everything stops. Of those that are back first, one missed the last change, and one without a disk, which had it in
-// force, takes what the other holds.
-func TestARestartedProcessActsByNothingOlderThanWhatWasInForce(t *testing.T) {
+// All processes stop. Of the two that restart first, one missed the last change; the other, without a disk, had it in
+// force and now pulls the older state from the first. Neither may use that older state.
+func TestRestartUsesNoOlderConfig(t *testing.T) {
 	f := startFleet(t, 3, 1)
 	eventually(t, func() bool { return f.voters(0) == 3 })
 	f.put(0, 7)
@@ -44,15 +44,15 @@
 	}
 	f.start(1, false)
 	for _, i := range []int{0, 1, 3} {
-		if got := f.usable(i); got != 9 {
+		if got := f.waitUsable(i); got != 9 {
 			t.Errorf("process %d acts by version %d, 9 was in force", i, got)
 		}
 	}
 }
 
-// As many disks are lost as may be, the leader's among them, and all other machines stop at the same moment, those
-// without a disk too.
-func TestNothingOlderIsInForceAfterDisksAreLostWhileAllElseStops(t *testing.T) {
+// As many disks as tolerated are lost, including the leader's, while all other machines stop at the same moment,
+// including those without a disk.
+func TestNoOlderConfigAfterDiskLossAndFullRestart(t *testing.T) {
 	const disks, losses = 5, 2
 	f := newFleet(t, disks, 2)
 	f.losses = losses
@@ -86,17 +86,17 @@
 			f.start(i, false)
 		}
 		for i := range f.nodes {
-			if got := f.usable(i); got != version {
+			if got := f.waitUsable(i); got != version {
 				t.Errorf("process %d acts by version %d, %d was acknowledged", i, got, version)
 			}
 		}
 		for i := range disks {
-			eventually(t, func() bool { return f.nodes[i].host.takesPart() && f.voters(i) == disks && f.whole(i) })
+			eventually(t, func() bool { return f.nodes[i].host.isMember() && f.voters(i) == disks && f.allVotersRunning(i) })
 		}
 	}
 }
 
-// wipe stops a process and loses its disk.
+// wipe stops a process and deletes its disk.
 func (f *fleet) wipe(i int) {
 	f.t.Helper()
 	f.stop(i)
@@ -105,8 +105,8 @@
 	}
 }
 
-// whole is true when each voter is a process that runs now.
-func (f *fleet) whole(i int) bool {
+// allVotersRunning reports whether each voter is a process that is running now.
+func (f *fleet) allVotersRunning(i int) bool {
 	for _, voter := range f.nodes[i].host.current.Load().Status().Config.Voters {
 		found := false
 		for _, n := range f.nodes {
@@ -119,9 +119,9 @@
 	return true
 }
 
-// A member of the log is cut off from the other ones. It cannot know what they accept meanwhile, and must not say that
-// what it holds is the newest.
-func TestAProcessWithoutAMajorityKnowsOfNoNewest(t *testing.T) {
+// A member of the log is cut off from the other members. It cannot know what they accept meanwhile, and must not claim
+// that its own state is the newest.
+func TestNoFreshnessProofWithoutMajority(t *testing.T) {
 	f := startFleet(t, 3, 1)
 	f.put(0, 7)
 	newest := func(i int) bool { return f.nodes[i].newestWithin(t.Context(), proofTimeout) }
@@ -140,27 +140,27 @@
 	}
 }
 
-// The leader's disk is lost right behind an acknowledgement, while everything stops. Those that are left would have to
-// elect another leader before they act by anything, if none of them knew that the change is committed.
-func TestAMajorityKnowsOfAnAcknowledgedChange(t *testing.T) {
+// The leader's disk is lost right after an acknowledgement, while all processes stop. If none of the remaining members
+// knew that the change is committed, they would have to elect another leader before they could use any configuration.
+func TestMajorityKnowsAcknowledgedChange(t *testing.T) {
 	f := startFleet(t, 3, 1)
 	eventually(t, func() bool { return f.voters(0) == 3 })
 	for version := uint64(1); version <= 20; version++ {
 		f.put(int(version)%len(f.nodes), version)
-		know := 0
+		informed := 0
 		for i := range 3 {
 			if f.nodes[i].Documents().Current().State.Version >= version {
-				know++
+				informed++
 			}
 		}
-		if know < 2 {
-			t.Fatalf("version %d is acknowledged and %d of 3 members know of it", version, know)
+		if informed < 2 {
+			t.Fatalf("version %d is acknowledged and %d of 3 members know of it", version, informed)
 		}
 	}
 }
 
-// A leader that has stood still does not know whether another one grants loads meanwhile, or by which configuration.
-func TestALeaderWithoutAProofGrantsNoLoads(t *testing.T) {
+// A leader that was paused does not know whether another leader grants loads meanwhile, or by which configuration.
+func TestUnconfirmedLeaderGrantsNoLoads(t *testing.T) {
 	f := startFleet(t, 3, 0)
 	body := `{"Version":1,"Services":[{"Name":"llm","Engine":{"Models":[{"Name":"m"}]}}]}`
 	eventually(t, func() bool {
@@ -175,8 +175,8 @@
 		}
 		return leader != nil
 	})
-	grants := func(p *permits) string {
-		reply, err := p.take(t.Context(), permitRequest{Service: "llm"})
+	request := func(p *permits) string {
+		reply, err := p.handle(t.Context(), permitRequest{Service: "llm"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -184,12 +184,12 @@
 	}
 	p := newPermits(leader.Mesh)
 	leader.Documents().Doubt()
-	if model := grants(p); model != "" {
+	if model := request(p); model != "" {
 		t.Errorf("a leader without a proof has granted the load of %q", model)
 	}
 	leader.Documents().Confirm()
-	// Another one may lead by now.
-	if model := grants(p); leader.Self().Leads && model != "m" {
+	// Another process may have become the leader.
+	if model := request(p); leader.Self().Leads && model != "m" {
 		t.Errorf("a leader with a proof has granted %q", model)
 	}
 }
--- a/internal/mesh/fleet_test.go
+++ b/internal/mesh/fleet_test.go
@@ -23,16 +23,16 @@
 	stopped chan struct{}
 }
 
-// fleet starts processes that know no more than the first as their seed.
+// fleet starts processes that all have only the first one as their seed.
 type fleet struct {
 	t         *testing.T
 	addresses []string
 	folders   []string
 	nodes     []*node
-	// losses is how many disks may be lost at once.
+	// losses is the number of disks that may be lost at the same time.
 	losses int
-	// prepare, when set, changes a process before it runs.
-	prepare func(*Mesh)
+	// configure, when set, changes a process before it runs.
+	configure func(*Mesh)
 }
 
 func decode(body []byte) (*route.Document, error) {
@@ -40,7 +40,7 @@
 	return &d, json.Unmarshal(body, &d)
 }
 
-// startFleet starts so many processes with and without a disk.
+// startFleet starts a fleet with the given numbers of processes with and without a disk.
 func startFleet(t *testing.T, disks, others int) *fleet {
 	t.Helper()
 	f := newFleet(t, disks, others)
@@ -50,7 +50,7 @@
 	return f
 }
 
-// newFleet is a fleet of which nothing has started.
+// newFleet returns a fleet in which no process has started.
 func newFleet(t *testing.T, disks, others int) *fleet {
 	t.Helper()
 	addresses, err := loopback.Addresses(disks + others)
@@ -81,11 +81,11 @@
 		Seeds: f.addresses[:1], Bootstrap: bootstrap, Folder: f.folders[i], Losses: f.losses,
 	}, NewDocuments(decode, zap.NewNop()), zap.NewNop())
 	if m.host != nil {
-		// A disk that is slow beside other work does not hang.
-		m.keeper.patience, m.host.spreadWait = time.Minute, time.Minute
+		// A disk that is slow under other load must not count as hung.
+		m.configWriter.timeout, m.host.quorumWait = time.Minute, time.Minute
 	}
-	if f.prepare != nil {
-		f.prepare(m)
+	if f.configure != nil {
+		f.configure(m)
 	}
 	listener, err := Listen(f.addresses[i])
 	if err != nil {
@@ -112,10 +112,10 @@
 	}
 }
 
-// eventually waits until a condition holds; the test's own limit ends it.
-func eventually(t *testing.T, holds func() bool) {
+// eventually waits until a condition is true; it ends when the test times out.
+func eventually(t *testing.T, cond func() bool) {
 	t.Helper()
-	for !holds() {
+	for !cond() {
 		if t.Context().Err() != nil {
 			t.FailNow()
 		}
--- a/internal/mesh/follow.go
+++ b/internal/mesh/follow.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// pullWait is how long a pull waits for something newer.
+	// pullWait is how long a pull waits for a newer configuration.
 	pullWait = 700 * time.Millisecond
-	// pullTimeout leaves the answer some time behind pullWait.
+	// pullTimeout leaves additional time for the answer after pullWait.
 	pullTimeout = pullWait + 500*time.Millisecond
 )
 
 var (
-	// pullTries follow pulls that failed, or found their source behind others.
-	pullTries = backoff.Options{First: 100 * time.Millisecond, Most: time.Second}
-	// seekTries follow pulls from those that hold nothing either: processes that
-	// restarted together ask each other.
-	seekTries = backoff.Options{First: 30 * time.Millisecond, Most: time.Second}
+	// pullBackoff paces pulls after a failure, or when the source is behind others.
+	pullBackoff = backoff.Options{First: 100 * time.Millisecond, Most: time.Second}
+	// firstConfigBackoff paces pulls from processes that hold no configuration either:
+	// processes that restarted together ask each other.
+	firstConfigBackoff = backoff.Options{First: 30 * time.Millisecond, Most: time.Second}
 )
 
-func (m *Mesh) takePull(ctx context.Context, in pullRequest) (pullReply, error) {
+func (m *Mesh) handlePull(ctx context.Context, in pullRequest) (pullReply, error) {
 	deadline := time.NewTimer(time.Duration(in.WaitMillis) * time.Millisecond)
 	defer deadline.Stop()
 	for waiting := true; waiting; {
@@ -47,90 +47,90 @@
 	if state.Index > in.Index {
 		reply = answerState(in, state)
 	}
-	reply.Digest, reply.Newest = m.knownDigest(), m.newest()
+	reply.Digest, reply.Newest = m.knownDigest(), m.newestIndex()
 	if reply.Digest != in.Digest {
-		reply.Known, reply.Heard = m.knownSince(in.Heard)
+		reply.Known, reply.Cursor = m.knownSince(in.Cursor)
 	} else {
-		reply.Heard = in.Heard
+		reply.Cursor = in.Cursor
 	}
 	return reply, nil
 }
 
-// request asks for what is newer than what is held.
-func (m *Mesh) request() pullRequest {
+// newPullRequest returns a request for a state newer than the held one.
+func (m *Mesh) newPullRequest() pullRequest {
 	held := m.documents.Current()
 	return pullRequest{From: m.Self(), Index: held.State.Index, Version: held.State.Version, Holds: held.Table != nil}
 }
 
-// follow keeps the configuration up to date where there is no log: it asks one
-// entry after the other, and another one as soon as one does not answer.
+// follow keeps the configuration up to date where there is no log: it follows one entry
+// at a time and switches to another as soon as one fails to answer.
 func (m *Mesh) follow(ctx context.Context) {
-	var trouble backoff.Trouble
+	var failures backoff.Trouble
 	for ctx.Err() == nil {
-		address, held := m.source(), m.documents.Current().State.Index
-		if address != "" && m.followOne(ctx, address, func() bool { return true }) || m.documents.Current().State.Index > held {
-			trouble.Over()
+		address, held := m.pickSource(), m.documents.Current().State.Index
+		if address != "" && m.followEntry(ctx, address, func() bool { return true }) || m.documents.Current().State.Index > held {
+			failures.Over()
 		}
-		tries := pullTries
-		if m.seeks() {
-			tries = seekTries
+		retry := pullBackoff
+		if m.needsFirstConfig() {
+			retry = firstConfigBackoff
 		}
-		_ = wait.For(ctx, tries.Pause(trouble.Failed(time.Now()), 0, rand.Float64()))
+		_ = wait.For(ctx, retry.Pause(failures.Failed(time.Now()), 0, rand.Float64()))
 	}
 }
 
-// seeks is true for a process that restarted and holds no configuration yet. Some
-// other one has it on its disk: to wait at one that has none would keep callers
-// waiting for as long.
-func (m *Mesh) seeks() bool {
+// needsFirstConfig reports whether this process restarted and holds no configuration yet.
+// Some other process has it on its disk: waiting at one that has none would keep callers
+// waiting as long.
+func (m *Mesh) needsFirstConfig() bool {
 	return !m.options.Bootstrap && m.documents.Current().State.Index == 0
 }
 
-// followOne follows one entry until it fails, lags, or wanted is false, and reports
-// whether it was of use before.
-func (m *Mesh) followOne(ctx context.Context, address string, wanted func() bool) (useful bool) {
+// followEntry follows one entry until it fails, lags behind, or keepGoing returns false.
+// It reports whether the entry delivered at least one current answer.
+func (m *Mesh) followEntry(ctx context.Context, address string, keepGoing func() bool) (progressed bool) {
 	client := rpc.NewClient(address)
 	defer client.Close()
-	var told uint64
-	var heard heardList
+	var digest uint64
+	var cursor listCursor
 	listed := time.Now()
-	for ctx.Err() == nil && wanted() {
+	for ctx.Err() == nil && keepGoing() {
 		if time.Since(listed) > relistInterval {
-			told, heard, listed = 0, heardList{}, time.Now()
+			digest, cursor, listed = 0, listCursor{}, time.Now()
 		}
-		patience := pullWait
-		if m.seeks() {
-			patience = 0
+		waitTime := pullWait
+		if m.needsFirstConfig() {
+			waitTime = 0
 		}
-		call, cancel := context.WithTimeout(ctx, pullTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, pullTimeout)
 		var reply pullReply
-		request := m.request()
-		request.Digest, request.Heard, request.WaitMillis = told, heard, patience.Milliseconds()
-		err := client.Call(call, methodPull, request, &reply)
+		request := m.newPullRequest()
+		request.Digest, request.Cursor, request.WaitMillis = digest, cursor, waitTime.Milliseconds()
+		err := client.Call(callCtx, methodPull, request, &reply)
 		cancel()
 		if err != nil {
-			return useful
+			return progressed
 		}
 		if reply.Newer {
-			m.takePulled(reply.State, originPull+address)
+			m.applyPulled(reply.State, originPull+address)
 		}
-		told, heard = reply.Digest, reply.Heard
+		digest, cursor = reply.Digest, reply.Cursor
 		now := time.Now()
 		m.mu.Lock()
 		for _, p := range reply.Known {
-			m.remember(p, now)
+			m.updateIndirect(p, now)
 		}
 		m.mu.Unlock()
-		if reply.Newest > m.documents.Current().State.Index || m.behind() || m.seeks() {
-			return useful
+		if reply.Newest > m.documents.Current().State.Index || m.behind() || m.needsFirstConfig() {
+			return progressed
 		}
-		useful = true
+		progressed = true
 	}
-	return useful
+	return progressed
 }
 
-// newest is the highest index of a configuration that was heard of.
-func (m *Mesh) newest() uint64 {
+// newestIndex returns the highest configuration index that is known of any process.
+func (m *Mesh) newestIndex() uint64 {
 	newest := m.documents.Current().State.Index
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -140,16 +140,17 @@
 	return newest
 }
 
-// behind is true when some peer is known to hold something newer: the source
-// may be cut off from the log without knowing.
+// behind reports whether a peer is known to hold a newer configuration: the source may be
+// cut off from the log without knowing it.
 func (m *Mesh) behind() bool {
-	return m.newest() > m.documents.Current().State.Index
+	return m.newestIndex() > m.documents.Current().State.Index
 }
 
-// source picks whom to ask: of those that hold the newest any, in the own data
-// centre rather. A few processes rather ask those with a log, which know sooner; the
-// members of a large fleet must have time for each other.
-func (m *Mesh) source() string {
+// pickSource chooses the process to pull from: a random one of those that hold the newest
+// configuration, preferably in the local data centre. In a small deployment processes
+// with a disk are preferred, since they learn of changes sooner; in a large one the
+// members of the log must keep time for each other.
+func (m *Mesh) pickSource() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	few := len(m.peers) < overlay.MostHubs
@@ -163,7 +164,7 @@
 		if q.process.DataCentre == m.options.Self.DataCentre {
 			score++
 		}
-		if now.Sub(q.heard) < heardAge {
+		if now.Sub(q.lastHeard) < reachableTimeout {
 			score += 2
 		}
 		if q.process.Index > m.documents.Current().State.Index {
--- a/internal/mesh/follow_test.go
+++ b/internal/mesh/follow_test.go
@@ -12,8 +12,9 @@
 	"github.com/rosemarypass/rosemarypass/internal/wait"
 )
 
-// startCutOff starts a process that is cut off from the log and does not know: it answers, and has no news.
-func startCutOff(t *testing.T) (address string) {
+// startIsolatedEntry starts a process that is cut off from the log without knowing it: it answers, but never has an
+// update.
+func startIsolatedEntry(t *testing.T) (address string) {
 	t.Helper()
 	addresses, err := loopback.Addresses(1)
 	if err != nil {
@@ -40,20 +41,20 @@
 	return addresses[0]
 }
 
-// The entry that another one follows is cut off from the log and goes on to answer. Each change must come by another way
-// all the same, or callers are routed by an old configuration for as long as the cut lasts.
-func TestASourceThatIsCutOffIsLeft(t *testing.T) {
+// The entry that another one follows is cut off from the log but keeps answering. Changes must arrive from elsewhere,
+// or callers are routed by an old configuration for as long as the partition lasts.
+func TestFollowerLeavesIsolatedSource(t *testing.T) {
 	f := startFleet(t, 1, 0)
 	f.put(0, 1)
-	source := startCutOff(t)
+	source := startIsolatedEntry(t)
 	m := New(Options{Self: Process{Name: "follower", Address: "127.0.0.1:1", Entry: true, Started: 1}, Bootstrap: true}, NewDocuments(decode, zap.NewNop()), zap.NewNop())
-	// It greets both, follows nobody by itself, and does not seek a first configuration.
+	// The mesh greets both processes, does not follow either by itself, and does not seek a first configuration.
 	m.ctx = t.Context()
 	for _, address := range []string{source, f.addresses[0]} {
-		m.meet(Process{Address: address, Entry: true})
+		m.addPeer(Process{Address: address, Entry: true})
 	}
-	m.followOne(t.Context(), source, func() bool { return true })
-	if next := m.source(); next != f.addresses[0] {
+	m.followEntry(t.Context(), source, func() bool { return true })
+	if next := m.pickSource(); next != f.addresses[0] {
 		t.Errorf("it follows %s next, %s has what it lacks", next, f.addresses[0])
 	}
 }
--- a/internal/mesh/host.go
+++ b/internal/mesh/host.go
@@ -20,41 +20,45 @@
 )
 
 const (
-	// snapshotEntries bounds the log on a small disk: an entry may hold a whole
+	// snapshotEntries bounds the log on a small disk: one entry may hold a whole
 	// configuration.
 	snapshotEntries = 48
-	// segmentBytes is the size of the log's files, so that old ones go soon.
+	// segmentBytes is the size of the log's files. It is small so that old files are
+	// deleted soon.
 	segmentBytes = 2 << 20
-	// reopenPause follows a disk that failed.
-	reopenPause = 500 * time.Millisecond
-	// foundingPause is the time between two looks at who may found.
-	foundingPause = 100 * time.Millisecond
+	// reopenDelay is the delay before a failed disk is opened again.
+	reopenDelay = 500 * time.Millisecond
+	// foundingInterval is the interval between two checks of which processes may found
+	// the log.
+	foundingInterval = 100 * time.Millisecond
 )
 
-// logHost runs this process's part of the replicated log, and runs it anew
-// after the disk has failed: what the disk then holds decides what it may say.
+// logHost runs the local replica of the replicated log, and reopens it after the disk has
+// failed: what the disk then holds decides what the replica may claim.
 type logHost struct {
 	mesh   *Mesh
 	prover prover
-	// spreadWait bounds the wait of an acknowledgement for a majority.
-	spreadWait time.Duration
+	// quorumWait bounds how long an acknowledgement waits for a majority.
+	quorumWait time.Duration
 	current    atomic.Pointer[replica.Replica]
-	// opened is when the disk was opened last; only the host's duty uses it.
+	// opened is when the disk was last opened. Only the goroutine that runs the host uses
+	// it.
 	opened time.Time
 }
 
 func newLogHost(m *Mesh) *logHost {
-	h := &logHost{mesh: m, spreadWait: spreadWait}
-	h.prover.round = h.proveByVoters
-	h.prover.pause = func(trouble time.Duration) time.Duration {
-		// A round asks the other voters, however many wait for it.
-		return memberTries.Pause(trouble, 0, rand.Float64())
+	h := &logHost{mesh: m, quorumWait: quorumWait}
+	h.prover.round = h.proveByQuorum
+	h.prover.interval = func(failingFor time.Duration) time.Duration {
+		// One round asks the other voters however many callers wait for it, so the number
+		// of processes does not matter.
+		return memberBackoff.Pause(failingFor, 0, rand.Float64())
 	}
 	return h
 }
 
-// identity is the member and the cluster, both empty while the disk cannot be
-// read, and whether this member leads.
+// identity returns the member and the cluster, both empty while the disk cannot be read,
+// and whether this member leads.
 func (h *logHost) identity() (member, cluster string, leads bool) {
 	r := h.current.Load()
 	if r == nil {
@@ -65,35 +69,35 @@
 }
 
 func (h *logHost) run(ctx context.Context) {
-	go h.followLog(ctx)
-	go h.keepMembers(ctx)
+	go h.pullWhileBehind(ctx)
+	go h.manageMembers(ctx)
 	for ctx.Err() == nil {
 		if err := h.runOnce(ctx); err != nil {
 			h.mesh.log.Error("the log's disk failed; trying again", telemetry.Cause(err))
 		}
-		_ = wait.For(ctx, reopenPause)
+		_ = wait.For(ctx, reopenDelay)
 	}
 }
 
-// runOnce opens the folder and works until ctx ends or the disk fails.
+// runOnce opens the folder and runs the replica until ctx ends or the disk fails.
 func (h *logHost) runOnce(ctx context.Context) error {
-	machine := &machine{documents: h.mesh.documents}
-	asked := time.Now()
+	sm := &stateMachine{documents: h.mesh.documents}
+	start := time.Now()
 	r, err := replica.Open(replica.Options{
 		Instance: h.mesh.options.Self.Name, Address: h.mesh.options.Self.Address, Folder: h.mesh.options.Folder,
 		Founders: h.founders, SnapshotEntries: snapshotEntries, SegmentBytes: segmentBytes, KeepCommit: true,
-	}, machine, h.mesh.log)
+	}, sm, h.mesh.log)
 	if err != nil {
 		return err
 	}
-	machine.begin(h.mesh.keeper.recall())
+	sm.start(h.mesh.configWriter.load())
 	h.current.Store(r)
 	h.opened = time.Now()
-	h.mesh.log.Info("the log's disk is open", zap.Duration("took", h.opened.Sub(asked)),
-		zap.Uint64("applied", r.Applied()), zap.Uint64("last", r.End().Last), zap.Uint64("version", machine.state.State().Version))
+	h.mesh.log.Info("the log's disk is open", zap.Duration("took", h.opened.Sub(start)),
+		zap.Uint64("applied", r.Applied()), zap.Uint64("last", r.End().Last), zap.Uint64("version", sm.state.State().Version))
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go h.endOnFailure(ctx, cancel, r)
+	go h.cancelOnFailure(ctx, cancel, r)
 	r.Run(ctx)
 	if reason := r.Failure(); reason != "" {
 		return errors.New(reason)
@@ -101,8 +105,8 @@
 	return nil
 }
 
-func (h *logHost) endOnFailure(ctx context.Context, cancel func(), r *replica.Replica) {
-	ticker := time.NewTicker(reopenPause)
+func (h *logHost) cancelOnFailure(ctx context.Context, cancel func(), r *replica.Replica) {
+	ticker := time.NewTicker(reopenDelay)
 	defer ticker.Stop()
 	for r.Failure() == "" {
 		select {
@@ -114,10 +118,10 @@
 	cancel()
 }
 
-// founders waits until the founding is settled.
+// founders waits until it is decided which processes found the log.
 func (h *logHost) founders(ctx context.Context, self replog.Member) ([]replog.Member, bool) {
 	for h.mesh.options.Bootstrap && ctx.Err() == nil {
-		view, settled := h.view()
+		view, settled := h.foundingView()
 		if settled {
 			return nil, false
 		}
@@ -128,20 +132,21 @@
 			}
 			return members, true
 		}
-		_ = wait.For(ctx, foundingPause)
+		_ = wait.For(ctx, foundingInterval)
 	}
 	return nil, false
 }
 
-// view describes who may found; settled is true when somebody has.
-func (h *logHost) view() (view founding.View, settled bool) {
+// foundingView describes the processes that may found the log; settled is true when it is
+// already founded.
+func (h *logHost) foundingView() (view founding.View, settled bool) {
 	m := h.mesh
 	self := m.Self()
 	view = founding.View{Self: processOf(self), Bootstrap: m.options.Bootstrap, Up: time.Since(h.opened)}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, seed := range m.options.Seeds {
-		if q := m.peers[seed]; seed != self.Address && (q == nil || q.heard.IsZero()) {
+		if q := m.peers[seed]; seed != self.Address && (q == nil || q.lastHeard.IsZero()) {
 			view.SeedsSilent++
 		}
 	}
@@ -149,7 +154,7 @@
 		if q.process.Cluster != "" {
 			return view, true
 		}
-		// One that was heard of and has not answered may have a disk.
+		// A process that is known but has not answered may have a disk.
 		if q.process.Started == 0 {
 			view.SeedsSilent++
 			continue
@@ -163,14 +168,15 @@
 	return founding.Process{Address: p.Address, DataCentre: p.DataCentre, Disk: p.Disk && p.Member != "", Member: p.Member, Cluster: p.Cluster}
 }
 
-// stop hands the leadership over.
+// stop hands over the leadership.
 func (h *logHost) stop(ctx context.Context) {
 	if r := h.current.Load(); r != nil {
 		r.Stop(ctx)
 	}
 }
 
-// addHandlers adds the log's methods; each goes to the replica that runs now.
+// addHandlers adds the log's methods; each call goes to the replica that is running at
+// that time.
 func (h *logHost) addHandlers(handlers map[string]rpc.Handler) {
 	for _, method := range replica.Methods {
 		handlers[method] = func(ctx context.Context, params json.RawMessage) (any, error) {
@@ -181,91 +187,90 @@
 			return r.Handle(ctx, method, params)
 		}
 	}
-	handlers[methodPropose] = rpc.Typed(h.takeProposal)
-	handlers[methodRead] = rpc.Typed(h.takeRead)
-	handlers[methodStanding] = rpc.Typed(h.takeStanding)
-	handlers[methodConfirm] = rpc.Typed(h.takeConfirm)
+	handlers[methodPropose] = rpc.Typed(h.handlePropose)
+	handlers[methodRead] = rpc.Typed(h.handleRead)
+	handlers[methodStanding] = rpc.Typed(h.handleStanding)
+	handlers[methodConfirm] = rpc.Typed(h.handleConfirm)
 }
 
-// machine applies the log's entries to the documents. While the folder is read
-// it only gathers: a state on the way to the one that was in force before the
-// restart must serve nobody.
-type machine struct {
+// stateMachine applies the entries of the log to the documents. While the folder is being
+// read it only accumulates them: an intermediate state, older than the one in force
+// before the restart, must not be used.
+type stateMachine struct {
 	state     document.Machine
 	documents *Documents
-	begun     bool
+	started   bool
 }
 
-// begin puts in force what the folder held: the log's state, or a newer one that
-// was pulled.
-func (a *machine) begin(kept document.State) {
-	a.begun = true
-	if kept.Index > a.state.State().Index {
-		a.documents.Take(kept, originDisk)
+// start puts in force what the folder held: the state of the log, or a newer pulled one.
+func (sm *stateMachine) start(pulled document.State) {
+	sm.started = true
+	if pulled.Index > sm.state.State().Index {
+		sm.documents.Take(pulled, originDisk)
 	}
-	a.put()
+	sm.publish()
 }
 
-func (a *machine) put() {
-	if a.begun {
-		a.documents.Take(a.state.State(), originLog)
+func (sm *stateMachine) publish() {
+	if sm.started {
+		sm.documents.Take(sm.state.State(), originLog)
 	}
 }
 
 // Apply implements replica.StateMachine.
-func (a *machine) Apply(index uint64, data []byte) []byte {
-	changed, err := a.state.Apply(index, data)
+func (sm *stateMachine) Apply(index uint64, data []byte) []byte {
+	changed, err := sm.state.Apply(index, data)
 	if err == nil && changed {
-		a.put()
+		sm.publish()
 	}
 	return []byte("{}")
 }
 
 // Snapshot implements replica.StateMachine.
-func (a *machine) Snapshot() ([]byte, error) { return a.state.Snapshot() }
+func (sm *stateMachine) Snapshot() ([]byte, error) { return sm.state.Snapshot() }
 
 // Restore implements replica.StateMachine.
-func (a *machine) Restore(data []byte) error {
-	if err := a.state.Restore(data); err != nil {
+func (sm *stateMachine) Restore(data []byte) error {
+	if err := sm.state.Restore(data); err != nil {
 		return err
 	}
-	a.put()
+	sm.publish()
 	return nil
 }
 
-// takesPart is true while this process belongs to a log. With more disks than the
-// log has members the others stand by.
-func (h *logHost) takesPart() bool {
+// isMember reports whether this process belongs to a log. If there are more disks than
+// members, the other processes are on standby.
+func (h *logHost) isMember() bool {
 	_, cluster, _ := h.identity()
 	return cluster != ""
 }
 
-// followLog pulls from other entries too while this process's part of the log
-// lags: behind a lost disk, a slow one, or a leader that cannot reach it. One
-// that stands by follows another entry all the while.
-func (h *logHost) followLog(ctx context.Context) {
+// pullWhileBehind also pulls from other entries while the local replica lags: because of
+// a lost disk, a slow disk, or a leader that cannot reach it. A process on standby
+// follows another entry permanently.
+func (h *logHost) pullWhileBehind(ctx context.Context) {
 	for ctx.Err() == nil {
 		_ = wait.For(ctx, syncInterval)
 		address := ""
-		if h.mesh.behind() || !h.takesPart() {
-			address = h.mesh.source()
+		if h.mesh.behind() || !h.isMember() {
+			address = h.mesh.pickSource()
 		}
 		switch {
 		case address == "":
-		case h.takesPart():
+		case h.isMember():
 			h.mesh.pullOnce(ctx, address)
 		default:
-			h.mesh.followOne(ctx, address, func() bool { return !h.takesPart() })
+			h.mesh.followEntry(ctx, address, func() bool { return !h.isMember() })
 		}
 	}
 }
 
-// pullOnce takes what one peer holds.
+// pullOnce pulls the state of one peer.
 func (m *Mesh) pullOnce(ctx context.Context, address string) {
-	call, cancel := context.WithTimeout(ctx, pullTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	var reply pullReply
-	if err := m.ask(call, address, methodPull, m.request(), &reply); err == nil && reply.Newer {
-		m.takePulled(reply.State, originPull+address)
+	if err := m.call(callCtx, address, methodPull, m.newPullRequest(), &reply); err == nil && reply.Newer {
+		m.applyPulled(reply.State, originPull+address)
 	}
 }
--- a/internal/mesh/members.go
+++ b/internal/mesh/members.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// membersInterval is the pause between two looks at the log's membership.
+	// membersInterval is the interval between two checks of the log's membership.
 	membersInterval = 250 * time.Millisecond
 	// changeTimeout bounds one membership change.
 	changeTimeout = 2 * time.Second
 )
 
-// keepMembers lets the leader take processes with a disk into the log and
-// remove members that will not come back, one change at a time.
-func (h *logHost) keepMembers(ctx context.Context) {
+// manageMembers runs on the leader: it adds processes with a disk to the log and removes
+// members that will not come back, one change at a time.
+func (h *logHost) manageMembers(ctx context.Context) {
 	for ctx.Err() == nil {
 		_ = wait.For(ctx, membersInterval)
 		r := h.current.Load()
@@ -33,12 +33,12 @@
 		if change.Kind == founding.ChangeNone {
 			continue
 		}
-		err := h.carryOut(ctx, r, change)
+		err := h.applyChange(ctx, r, change)
 		h.mesh.log.Info("membership of the log", zap.String("change", string(change.Kind)), zap.String("member", change.Member), zap.String("address", change.Address), telemetry.Cause(err))
 	}
 }
 
-func (h *logHost) carryOut(ctx context.Context, r *replica.Replica, change founding.Change) error {
+func (h *logHost) applyChange(ctx context.Context, r *replica.Replica, change founding.Change) error {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	switch change.Kind {
@@ -51,7 +51,8 @@
 	}
 }
 
-// membership describes the log's members and who could become one.
+// membership describes the members of the log and the processes that could become
+// members.
 func (h *logHost) membership(status replog.Status) founding.Membership {
 	m := h.mesh
 	view := founding.Membership{Self: string(status.ID), Cluster: status.Config.Cluster, Losses: m.options.Losses}
@@ -71,7 +72,7 @@
 		if q.process.Started == 0 {
 			continue
 		}
-		view.Known = append(view.Known, founding.Seen{Process: processOf(q.process), Silent: now.Sub(q.heard)})
+		view.Known = append(view.Known, founding.Seen{Process: processOf(q.process), Silent: now.Sub(q.lastHeard)})
 	}
 	return view
 }
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -1,10 +1,10 @@
-// Package mesh joins the processes of a deployment that were told of no more
-// than a few seeds: they find each other, found the replicated log, spread the
-// announcements of backend servers, and hand on the configuration in force.
+// Package mesh connects the processes of a deployment, each of which is configured with
+// only a few seed addresses: they discover each other, found the replicated log, spread
+// the announcements of backend servers, and distribute the configuration in force.
 //
-// Duties: one for each peer that is greeted, one that follows the
-// configuration where there is no log, one that seeks a proof that
-// the configuration held is not an old one, one for the log's membership.
+// Background tasks: one per greeted peer, one that follows the configuration where there
+// is no log, one that seeks a proof that the held configuration is not stale, and one
+// that manages the log's membership.
 package mesh
 
 import (
@@ -24,128 +24,129 @@
 	"github.com/rosemarypass/rosemarypass/internal/rpc"
 )
 
-// Options describe this process and its deployment.
+// Options describes this process and its deployment.
 type Options struct {
-	// Self is this process; Member, Cluster and Index are filled in.
+	// Self describes this process; Mesh fills in Member, Cluster and Index.
 	Self Process
-	// Seeds are the addresses of processes to greet first.
+	// Seeds are the addresses of the processes to greet first.
 	Seeds []string
-	// Bootstrap is true at the deployment's first start only.
+	// Bootstrap is true only at the first start of the deployment.
 	Bootstrap bool
-	// Folder holds the log; empty without a disk.
+	// Folder is the directory of the log; empty without a disk.
 	Folder string
-	// Losses is how many machines with a disk may be lost at once.
+	// Losses is the number of machines with a disk that may be lost at the same time.
 	Losses int
 }
 
-// Timings.
+// Intervals, timeouts and limits.
 const (
-	// syncInterval is the pause between greetings when there is no news: a
-	// process that fell silent is noticed after a few of them.
+	// syncInterval is the interval between greetings when there are no updates to send. A
+	// process that falls silent is noticed after a few intervals.
 	syncInterval = 400 * time.Millisecond
-	// syncTimeout bounds one greeting; one way takes a few milliseconds. It grows to
-	// longestSync while greetings fail.
-	syncTimeout = 700 * time.Millisecond
-	longestSync = 5 * time.Second
-	// greetingServers bounds the servers that one greeting tells of in full: what has
-	// arrived is not lost with the rest.
-	greetingServers = 64
-	// heardAge is how long after its last word a peer counts as reached.
-	heardAge = 1500 * time.Millisecond
-	// forgetAge is how much longer ago than others a process was heard by anyone
-	// when it is forgotten.
-	forgetAge = 2 * time.Minute
-	// lostAge is how long a peer that does not answer counts as lost, if nothing
-	// is heard of it: then it is tried again.
-	lostAge = 10 * time.Second
-	// listPause is, for each process that is known, the least pause between two full
-	// lists to a peer that knows of others: what a list costs grows with them, what
-	// lists cost in a second does not. What changes meanwhile is told at once.
-	listPause = 25 * time.Millisecond
-	// relistInterval is the pause between two full lists of the known processes
-	// from a peer, which show who has fallen silent.
+	// syncTimeout bounds one greeting; one network direction takes a few milliseconds. It
+	// grows up to maxSyncTimeout while greetings fail.
+	syncTimeout    = 700 * time.Millisecond
+	maxSyncTimeout = 5 * time.Second
+	// maxGreetingServers bounds the servers that one greeting carries in full, so that a
+	// failed greeting does not lose the updates that earlier ones delivered.
+	maxGreetingServers = 64
+	// reachableTimeout is how long after its last message a peer counts as reachable.
+	reachableTimeout = 1500 * time.Millisecond
+	// forgetTimeout is how far behind the most recently heard process a process may fall
+	// before it is forgotten.
+	forgetTimeout = 2 * time.Minute
+	// lostTimeout is how long after a failure a peer that is not heard counts as lost. It
+	// is retried afterwards.
+	lostTimeout = 10 * time.Second
+	// fullListInterval is the minimum interval, per known process, between two full
+	// process lists sent to a peer that knows different processes. A list grows with the
+	// number of processes, so scaling the interval keeps the cost per second constant.
+	// Changes in between are sent immediately.
+	fullListInterval = 25 * time.Millisecond
+	// relistInterval is the interval between two requests to a peer for its full list of
+	// known processes, which shows which ones have fallen silent.
 	relistInterval = 30 * time.Second
-	// confirmTimeout bounds the wait for the others' confirmation of a leaving
-	// server, which gives up on its announcement after a second.
+	// confirmTimeout bounds the wait for the other entries to acknowledge that a server
+	// leaves. The server gives up on its announcement after one second.
 	confirmTimeout = 600 * time.Millisecond
-	// goneAge and silentAge are how long servers that ended, and servers that
+	// goneRetention and silentRetention are how long servers that ended, and servers that
 	// fell silent, stay listed.
-	goneAge   = 30 * time.Second
-	silentAge = 15 * time.Second
+	goneRetention   = 30 * time.Second
+	silentRetention = 15 * time.Second
 )
 
-// greetingTries follow greetings that failed. The longest pause is shorter than the
-// time after which a process counts as out of reach: one that is there again must
-// not stay so.
-var greetingTries = backoff.Options{First: 300 * time.Millisecond, Most: 800 * time.Millisecond}
+// greetingBackoff paces retries of failed greetings. The longest pause is shorter than
+// reachableTimeout, so that a process that is back does not keep counting as unreachable.
+var greetingBackoff = backoff.Options{First: 300 * time.Millisecond, Most: 800 * time.Millisecond}
 
-// Mesh is this process's part.
+// Mesh is the local end of the mesh.
 type Mesh struct {
 	options   Options
 	log       *zap.Logger
 	documents *Documents
 	host      *logHost
-	// keeper is nil without a disk.
-	keeper *keeper
-	prover prover
-	pauses pauses
+	// configWriter is nil without a disk.
+	configWriter *configWriter
+	prover       prover
+	pauses       pauseDetector
 
-	// taking holds the processes whose greetings are being taken, by address.
-	taking sync.Map
+	// syncing holds the addresses of the processes whose greetings are being handled.
+	syncing sync.Map
 
 	mu     sync.Mutex
 	peers  map[string]*peer
 	roster *roster.Roster
-	// digest is the sum of the peers' digests, changes counts the changes of what is
-	// known of them.
+	// digest is the sum of the peers' digests; changes counts the changes to what is
+	// known of the peers.
 	digest  uint64
 	changes uint64
-	// relink is true when whom to greet must be decided anew; linkedAt is when
-	// it was, linkedAs this process's own digest then.
-	relink   bool
-	linkedAt time.Time
-	linkedAs uint64
-	// relies is true when this process is no hub: those it greets must pass on to
-	// it what they hear.
-	relies bool
-	// heardFrom says on which way a server was heard of last.
-	heardFrom map[string]way
-	// strikes are the requests that crashed servers; news of them go to peers.
+	// relink is true when the set of peers to greet must be recomputed; linkedAt is when
+	// it was last computed, and linkedDigest is the digest of this process at that time.
+	relink       bool
+	linkedAt     time.Time
+	linkedDigest uint64
+	// spoke is true when this process is not a hub: the hubs that it greets must forward
+	// to it what they hear.
+	spoke bool
+	// heardVia records how each server was last heard of.
+	heardVia map[string]via
+	// strikes records the requests that crashed servers; updates are sent to peers.
 	strikes *suspicion.Strikes
-	// demand counts the requests for models that came in here.
+	// demand counts the requests for models that this process received.
 	demand modelplan.Demand
-	// unheard are the servers that are known from the disk alone.
-	unheard map[string]bool
-	// progress is closed and replaced when a peer confirms or news arrive.
+	// diskOnly holds the servers that are known only from the disk.
+	diskOnly map[string]bool
+	// progress is closed and replaced when a peer acknowledges a change or updates
+	// arrive.
 	progress chan struct{}
-	duties   sync.WaitGroup
+	tasks    sync.WaitGroup
 	ctx      context.Context
 }
 
-// New returns a mesh; Run starts it.
+// New returns a Mesh that is not running; Run starts it.
 func New(options Options, documents *Documents, log *zap.Logger) *Mesh {
 	m := &Mesh{
 		options: options, log: log, documents: documents,
-		peers: make(map[string]*peer), roster: roster.New(), heardFrom: make(map[string]way), strikes: suspicion.NewStrikes(),
-		progress: make(chan struct{}), unheard: make(map[string]bool),
+		peers: make(map[string]*peer), roster: roster.New(), heardVia: make(map[string]via), strikes: suspicion.NewStrikes(),
+		progress: make(chan struct{}), diskOnly: make(map[string]bool),
 	}
 	m.prover.round = m.proveOnce
-	m.prover.pause = func(trouble time.Duration) time.Duration {
-		return proofTries.Pause(trouble, m.size(), rand.Float64())
+	m.prover.interval = func(failingFor time.Duration) time.Duration {
+		return proofBackoff.Pause(failingFor, m.size(), rand.Float64())
 	}
 	m.pauses.clock = bootTime
 	if options.Folder != "" {
 		m.host = newLogHost(m)
-		m.keeper = newKeeper(options.Folder, log)
-		m.recall(time.Now())
+		m.configWriter = newConfigWriter(options.Folder, log)
+		m.loadServers(time.Now())
 	}
 	return m
 }
 
-// Documents holds the configuration in force.
+// Documents returns the holder of the configuration in force.
 func (m *Mesh) Documents() *Documents { return m.documents }
 
-// Self describes this process as it is now.
+// Self describes the current state of this process.
 func (m *Mesh) Self() Process {
 	self := m.options.Self
 	self.Index = m.documents.Current().State.Index
@@ -155,13 +156,13 @@
 	return self
 }
 
-// Handlers are the methods that other processes call.
+// Handlers returns the methods that other processes call.
 func (m *Mesh) Handlers() map[string]rpc.Handler {
 	handlers := map[string]rpc.Handler{
-		methodSync: rpc.Typed(m.takeGreeting),
-		methodPull: rpc.Typed(m.takePull),
+		methodSync: rpc.Typed(m.handleSync),
+		methodPull: rpc.Typed(m.handlePull),
 
-		methodPermit: rpc.Typed(newPermits(m).take),
+		methodPermit: rpc.Typed(newPermits(m).handle),
 	}
 	if m.host != nil {
 		m.host.addHandlers(handlers)
@@ -169,30 +170,31 @@
 	return handlers
 }
 
-// Run works until ctx ends.
+// Run runs the background tasks until ctx ends.
 func (m *Mesh) Run(ctx context.Context) {
 	m.mu.Lock()
 	m.ctx = ctx
 	m.mu.Unlock()
 	for _, seed := range m.options.Seeds {
-		m.meet(Process{Address: seed, Entry: true})
+		m.addPeer(Process{Address: seed, Entry: true})
 	}
 	if m.host != nil {
-		m.duties.Go(func() { m.host.run(ctx) })
-		m.duties.Go(func() { m.keeper.run(ctx) })
-		m.duties.Go(func() { m.keepServers(ctx) })
+		m.tasks.Go(func() { m.host.run(ctx) })
+		m.tasks.Go(func() { m.configWriter.run(ctx) })
+		m.tasks.Go(func() { m.persistServers(ctx) })
 	} else {
-		m.duties.Go(func() { m.follow(ctx) })
+		m.tasks.Go(func() { m.follow(ctx) })
 	}
-	m.duties.Go(func() { m.keepConfirmed(ctx) })
+	m.tasks.Go(func() { m.watchPauses(ctx) })
 	m.expire(ctx)
-	m.duties.Wait()
+	m.tasks.Wait()
 	if !m.options.Self.Entry {
 		m.closePeers()
 	}
 }
 
-// closePeers closes the connections of a process that greets nobody.
+// closePeers closes the connections to all peers in a process that greets none. In other
+// processes the greeting task of each peer closes them.
 func (m *Mesh) closePeers() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -201,22 +203,22 @@
 	}
 }
 
-// SetSeeds greets further seeds.
+// SetSeeds adds seeds and greets them.
 func (m *Mesh) SetSeeds(seeds []string) {
 	for _, seed := range seeds {
-		m.meet(Process{Address: seed, Entry: true})
+		m.addPeer(Process{Address: seed, Entry: true})
 	}
 }
 
-// Stop hands the log's leadership over.
+// Stop hands over the leadership of the log.
 func (m *Mesh) Stop(ctx context.Context) {
 	if m.host != nil {
 		m.host.stop(ctx)
 	}
 }
 
-// expire forgets what has fallen silent, and keeps whom this process greets up
-// to date.
+// expire periodically removes silent servers and peers, and updates the set of peers that
+// this process greets.
 func (m *Mesh) expire(ctx context.Context) {
 	ticker := time.NewTicker(syncInterval)
 	defer ticker.Stop()
@@ -227,11 +229,11 @@
 		case now := <-ticker.C:
 			self := m.Self()
 			m.mu.Lock()
-			m.roster.Expire(now.Add(-goneAge), now.Add(-silentAge))
-			for id := range m.heardFrom {
+			m.roster.Expire(now.Add(-goneRetention), now.Add(-silentRetention))
+			for id := range m.heardVia {
 				if _, known := m.roster.Get(id); !known {
-					delete(m.heardFrom, id)
-					delete(m.unheard, id)
+					delete(m.heardVia, id)
+					delete(m.diskOnly, id)
 				}
 			}
 			m.forgetSilent()
@@ -241,32 +243,32 @@
 	}
 }
 
-// ErrParted means that this process reaches too few of the others to vouch
-// that they have heard.
-var ErrParted = errors.New("most other entries cannot be reached")
+// ErrPartitioned means that this process reaches too few of the other entries to
+// guarantee that they know of a change.
+var ErrPartitioned = errors.New("most other entries cannot be reached")
 
-// Serving lists the backend servers that take work.
+// Serving lists the backend servers that accept work.
 func (m *Mesh) Serving() []roster.Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.roster.Serving()
 }
 
-// RosterChange is the number of the last change of what servers there are.
+// RosterChange returns the sequence number of the last material change to the roster.
 func (m *Mesh) RosterChange() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.roster.Material()
 }
 
-// Announced returns what a server last said of itself.
+// Announced returns the latest announcement of a server.
 func (m *Mesh) Announced(id string) (roster.Entry, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.roster.Get(id)
 }
 
-// MayServe reports whether a server is not known to leave.
+// MayServe reports whether a server is known and is neither leaving nor gone.
 func (m *Mesh) MayServe(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -274,7 +276,7 @@
 	return ok && !e.Leaving && !e.Gone
 }
 
-// Listen opens the address at which other processes call.
+// Listen opens the listener for calls from other processes.
 func Listen(address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	return listener, errors.Wrap(err, "listen for other processes")
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -21,9 +21,9 @@
 	"github.com/rosemarypass/rosemarypass/internal/wal"
 )
 
-// All processes start at once and know one seed, which may have no disk. They
-// must form one log: two would each accept changes that the other never sees.
-func TestProcessesThatKnowOneSeedFormOneLog(t *testing.T) {
+// All processes start at once and know one seed, which may have no disk. They must form
+// one log: of two, each would accept changes that the other never sees.
+func TestSingleSeedFormsOneLog(t *testing.T) {
 	f := startFleet(t, 3, 2)
 	f.put(4, 5)
 	for i := range f.nodes {
@@ -34,8 +34,8 @@
 	}
 	clusters := make(map[string]bool)
 	for i := range 3 {
-		// A process may read through another one before it takes part itself.
-		eventually(t, f.nodes[i].host.takesPart)
+		// A process may read through another one before it is a member itself.
+		eventually(t, f.nodes[i].host.isMember)
 		_, cluster, _ := f.nodes[i].host.identity()
 		clusters[cluster] = true
 	}
@@ -44,11 +44,11 @@
 	}
 }
 
-// Disks are slow at the first start of all: when they open, their processes are
-// long up and have heard of each other as processes without an open disk. Each
-// then takes itself for the only one that can hold the log. They must form one log
-// all the same, or operators' changes are lost between several.
-func TestProcessesWhoseDisksOpenLateFormOneLog(t *testing.T) {
+// Disks are slow at the first start: when they open, their processes have long been up
+// and know each other as processes without an open disk, so that each considers itself
+// the only one that can hold the log. They must still form one log, or operators' changes
+// are lost between several.
+func TestSlowDisksFormOneLog(t *testing.T) {
 	f := newFleet(t, 3, 0)
 	var locks []io.Closer
 	for i, folder := range f.folders {
@@ -77,7 +77,7 @@
 	}
 	clusters := make(map[string]bool)
 	for _, n := range f.nodes {
-		eventually(t, func() bool { return n.host.takesPart() })
+		eventually(t, func() bool { return n.host.isMember() })
 		_, cluster, _ := n.host.identity()
 		clusters[cluster] = true
 	}
@@ -86,10 +86,10 @@
 	}
 }
 
-// A machine loses its disk and comes back at its address. It has forgotten what
-// it promised, so it must come back as a new member; an operator's change must
-// outlive it, also when another disk is lost afterwards.
-func TestAWipedMemberComesBackAsANewOne(t *testing.T) {
+// A machine loses its disk and comes back at the same address. Its votes and promises are
+// lost, so it must rejoin as a new member. An operator's change must survive this, also
+// when another disk is lost afterwards.
+func TestWipedMemberRejoinsAsNewMember(t *testing.T) {
 	f := startFleet(t, 4, 0)
 	f.put(0, 1)
 	eventually(t, func() bool { return f.voters(0) == 4 })
@@ -116,9 +116,9 @@
 	}
 }
 
-// Most of the log is gone. Whoever is left cannot know the newest configuration
-// and must say so, instead of showing what it holds.
-func TestAReadWithoutAMajorityIsRefused(t *testing.T) {
+// The majority of the log is gone. The remaining member cannot know the newest
+// configuration and must refuse the read instead of returning what it holds.
+func TestReadWithoutMajorityIsRefused(t *testing.T) {
 	f := startFleet(t, 3, 0)
 	f.put(0, 1)
 	f.stop(1)
@@ -130,13 +130,13 @@
 	}
 }
 
-// A server says at one entry that it leaves. When that is acknowledged, the
-// other entries must know: a request that one of them still sends would be cut.
-func TestALeavingServerIsKnownEverywhereWhenItIsAcknowledged(t *testing.T) {
+// A server tells one entry that it leaves. When this is acknowledged, the other entries
+// must know: a request that one of them still sends would be cut off.
+func TestLeaveIsAcknowledgedAfterAllEntriesKnow(t *testing.T) {
 	f := startFleet(t, 1, 2)
 	eventually(t, func() bool {
 		for i := range f.nodes {
-			if reached, _ := f.nodes[i].reached(time.Now()); reached != 2 {
+			if reached, _ := f.nodes[i].countReached(time.Now()); reached != 2 {
 				return false
 			}
 		}
@@ -158,17 +158,16 @@
 	}
 }
 
-// With more processes than greet each other all round, news go over hubs. A
-// server leaves at a process that is none; all must hear of it within moments,
-// and must not forget a server of which they are told no more than that it
-// lives.
-func TestNewsReachAllOverHubs(t *testing.T) {
+// With more processes than can all greet each other, updates travel through hubs. A
+// server leaves at a process that is not a hub; all processes must soon learn of it, and
+// must not forget a server of which they receive only heartbeats.
+func TestUpdatesReachAllThroughHubs(t *testing.T) {
 	const size = overlay.MostHubs + 6
 	f := startFleet(t, 3, size-3)
 	spoke := -1
 	eventually(t, func() bool {
 		for i, n := range f.nodes {
-			reached, known := n.reached(time.Now())
+			reached, known := n.countReached(time.Now())
 			if reached != known || known == 0 || len(n.Known()) != size {
 				return false
 			}
@@ -182,16 +181,17 @@
 	if err := f.nodes[spoke].Announce(context.Background(), server); err != nil {
 		t.Fatal(err)
 	}
-	everywhere := func(holds func(*node) bool) func() bool {
+	everywhere := func(cond func(*node) bool) func() bool {
 		return func() bool {
-			return !slices.ContainsFunc(f.nodes, func(n *node) bool { return !holds(n) })
+			return !slices.ContainsFunc(f.nodes, func(n *node) bool { return !cond(n) })
 		}
 	}
 	eventually(t, everywhere(func(n *node) bool { return n.MayServe("s") }))
 	beat := roster.Beat{ID: "s", Born: 1, Sequence: 1}
 	n := f.nodes[spoke]
 	eventually(t, func() bool {
-		// One beat may get lost while hubs are chosen anew; servers go on beating.
+		// One heartbeat may be lost while hubs are being chosen again; servers keep
+		// sending them.
 		beat.Sequence++
 		n.mu.Lock()
 		n.roster.Hear(beat, time.Now())
@@ -208,12 +208,12 @@
 	eventually(t, everywhere(func(n *node) bool { return !n.MayServe("s") }))
 }
 
-// A peer hears of a server only that it lives, because it lost all it knew
-// meanwhile. It must get to know the server, or it sends it no work.
-func TestAServerBehindABeatIsAskedFor(t *testing.T) {
+// A peer that has lost its roster receives only a heartbeat of a server. It must request
+// the server's announcement, or it sends the server no work.
+func TestUnknownServerInBeatIsRequested(t *testing.T) {
 	f := startFleet(t, 1, 1)
 	eventually(t, func() bool {
-		reached, _ := f.nodes[0].reached(time.Now())
+		reached, _ := f.nodes[0].countReached(time.Now())
 		return reached == 1
 	})
 	server := roster.Server{ID: "s", Born: 1, Sequence: 1, Service: "x", Address: "a:1"}
@@ -234,14 +234,14 @@
 	})
 }
 
-// A process is cut off from all others for minutes. It must remember whom to
-// greet when the cut heals.
-func TestACutOffProcessForgetsNobody(t *testing.T) {
+// A process is cut off from all others for minutes. It must remember which peers to greet
+// when the partition heals.
+func TestIsolatedProcessKeepsPeers(t *testing.T) {
 	m := New(Options{Self: Process{Address: "a", Entry: true}}, NewDocuments(decode, zap.NewNop()), zap.NewNop())
 	m.ctx = t.Context()
 	now := time.Now()
-	for address, silent := range map[string]time.Duration{"b": 3 * forgetAge, "c": 3*forgetAge + time.Second, "d": 5 * forgetAge} {
-		m.peers[address] = &peer{mesh: m, word: now.Add(-silent), kick: make(chan struct{}, 1)}
+	for address, silent := range map[string]time.Duration{"b": 3 * forgetTimeout, "c": 3*forgetTimeout + time.Second, "d": 5 * forgetTimeout} {
+		m.peers[address] = &peer{mesh: m, lastHeardAny: now.Add(-silent), kick: make(chan struct{}, 1)}
 	}
 	m.forgetSilent()
 	if m.peers["b"] == nil || m.peers["c"] == nil || m.peers["d"] != nil {
@@ -249,12 +249,12 @@
 	}
 }
 
-// An entry that reaches none of the others cannot tell them of a server that
-// leaves; it must not acknowledge that, so that the server tells another one.
-func TestAPartedEntryAcknowledgesNothing(t *testing.T) {
+// An entry that reaches none of the others cannot tell them that a server leaves. It must
+// not acknowledge this, so that the server tells another entry.
+func TestPartitionedEntryRefusesAnnouncement(t *testing.T) {
 	f := startFleet(t, 1, 2)
 	eventually(t, func() bool {
-		reached, _ := f.nodes[0].reached(time.Now())
+		reached, _ := f.nodes[0].countReached(time.Now())
 		return reached == 2
 	})
 	f.stop(1)
@@ -266,7 +266,7 @@
 	}
 }
 
-func TestAConfigurationNeverStepsBack(t *testing.T) {
+func TestConfigNeverGoesBack(t *testing.T) {
 	d := NewDocuments(decode, zap.NewNop())
 	d.Take(document.State{Index: 5, Version: 2, Body: []byte(`{"Version":2}`)}, "test")
 	d.Take(document.State{Index: 4, Version: 1, Body: []byte(`{"Version":1}`)}, "test")
@@ -280,8 +280,9 @@
 	}
 }
 
-// Adapters are named before the first configuration, and its version is 0. Processes without a log must have it too.
-func TestAConfigurationOfVersion0IsInForceEverywhere(t *testing.T) {
+// Adapters are named before the first configuration, and its version is 0. Processes
+// without a log must receive it too.
+func TestVersionZeroConfigReachesAll(t *testing.T) {
 	f := startFleet(t, 1, 1)
 	eventually(t, func() bool {
 		return f.nodes[0].Propose(t.Context(), document.Command{Name: &document.Name{Adapter: "m/a", Version: 3}}) == nil
@@ -298,9 +299,9 @@
 	}
 }
 
-// Many engines come up empty at once. The store must not get more loads than it
-// allows, also when the leader changes in between.
-func TestLoadsFromTheStoreAreGrantedAtItsRate(t *testing.T) {
+// Many engines start empty at once. The store must not get more loads than it allows,
+// also when the leader changes in between.
+func TestLoadPermitsRespectStoreRate(t *testing.T) {
 	now := time.Unix(1000, 0)
 	granted := 0
 	first := &permits{}
@@ -320,10 +321,10 @@
 	}
 }
 
-// All engines of a service with two models come up empty, one after the other.
-// Both models must be loaded, about as they are asked for, and a copy on an
-// engine's own disk needs none of the store's loads.
-func TestEmptyEnginesLoadWhatIsAskedFor(t *testing.T) {
+// All engines of a service with two models start empty, one after the other. Both models
+// must be loaded roughly in proportion to demand, and a copy on an engine's own disk must
+// not use up a permit for the store.
+func TestEmptyEnginesLoadByDemand(t *testing.T) {
 	m := New(Options{Self: Process{Address: "a", Entry: true}}, NewDocuments(decode, zap.NewNop()), zap.NewNop())
 	service := &route.Service{Name: "s", Engine: &route.Engine{
 		LoadsPerSecond: 2, Models: []route.Model{{Name: "busy", LoadTime: 5 * time.Second}, {Name: "rare", LoadTime: 5 * time.Second}},
@@ -354,13 +355,13 @@
 	}
 }
 
-// A server crashes under a request at one entry; its caller's next try comes in
-// at another one, which must know.
-func TestStrikesAreKnownAtAllEntries(t *testing.T) {
+// A server crashes while running a request at one entry; the caller's retry arrives at
+// another one, which must know of the crash.
+func TestStrikesReachAllEntries(t *testing.T) {
 	f := startFleet(t, 1, 1)
 	eventually(t, func() bool {
-		first, _ := f.nodes[0].reached(time.Now())
-		second, _ := f.nodes[1].reached(time.Now())
+		first, _ := f.nodes[0].countReached(time.Now())
+		second, _ := f.nodes[1].countReached(time.Now())
 		return first == 1 && second == 1
 	})
 	for i, server := range []string{"a", "b", "c"} {
--- a/internal/mesh/messages.go
+++ b/internal/mesh/messages.go
@@ -15,96 +15,96 @@
 	methodPropose = "mesh.propose"
 	methodRead    = "mesh.read"
 	methodPermit  = "mesh.permit"
-	// methodStanding asks a member of the log for its standing, methodConfirm for
-	// a state that includes every change acknowledged before the question.
+	// methodStanding asks a member of the log for its standing, methodConfirm for a state
+	// that includes every change acknowledged before the request.
 	methodStanding = "mesh.standing"
 	methodConfirm  = "mesh.confirm"
 )
 
-// Process is one process as it describes itself.
+// Process is the description of one process, as reported by itself.
 type Process struct {
 	Name string `json:"name"`
 	// Address is where other processes call it.
 	Address    string `json:"address"`
 	DataCentre string `json:"dataCentre"`
-	// Entry is true for entries; agents are greeted by nobody.
+	// Entry is true for entries; agents are not greeted.
 	Entry bool `json:"entry,omitempty"`
 	// Disk is true when it can hold the log.
 	Disk bool `json:"disk,omitempty"`
-	// Member and Cluster are its identity in a log and that log, if any.
+	// Member is its identity in a log and Cluster identifies that log, if any.
 	Member  string `json:"member,omitempty"`
 	Cluster string `json:"cluster,omitempty"`
-	// Leads is true for the log's leader.
+	// Leads is true for the leader of the log.
 	Leads bool `json:"leads,omitempty"`
-	// Index is that of the configuration it acts by.
+	// Index is the index of the configuration that it uses.
 	Index uint64 `json:"index,omitempty"`
-	// Started tells its incarnations apart, in Unix nanoseconds.
+	// Started is its start time in Unix nanoseconds. It distinguishes its incarnations.
 	Started int64 `json:"started"`
-	// SilentMillis is how long ago it was last heard, as far as the one that
-	// tells of it knows; 0 from the process itself.
+	// SilentMillis is the time since it was last heard, as far as the reporting process
+	// knows; 0 from the process itself.
 	SilentMillis int64 `json:"silentMillis,omitempty"`
 }
 
-// heardList says up to where somebody has heard what one incarnation of a process
-// knows of all others. Each such process counts the changes of what it knows.
-type heardList struct {
-	Of     int64  `json:"of,omitempty"`
-	Change uint64 `json:"change,omitempty"`
+// listCursor is the position up to which a process has received what one incarnation of
+// another process knows of all processes. Each incarnation counts the changes to what it
+// knows.
+type listCursor struct {
+	Incarnation int64  `json:"of,omitempty"`
+	Change      uint64 `json:"change,omitempty"`
 }
 
-// greeting tells a peer what it may not know yet.
+// greeting sends a peer what it may not know yet.
 type greeting struct {
 	From Process `json:"from"`
-	// Heard is up to where the sender has heard the receiver's list.
-	Heard heardList `json:"heard,omitzero"`
-	// Servers are backend servers whose announcements are news, Beats those of
-	// which it is only news that they live.
+	// Cursor is the position up to which the sender has received the receiver's list.
+	Cursor listCursor `json:"heard,omitzero"`
+	// Servers are backend servers with new announcements, Beats are heartbeats of servers
+	// that have not changed otherwise.
 	Servers []roster.Server `json:"servers,omitempty"`
 	Beats   []roster.Beat   `json:"beats,omitempty"`
-	// Strikes are news of servers that crashed under a request.
+	// Strikes are new strikes against servers that crashed while running a request.
 	Strikes []suspicion.Strike `json:"strikes,omitempty"`
-	// Digest is that of the processes the sender knows.
+	// Digest is the digest of the processes that the sender knows.
 	Digest uint64 `json:"digest"`
-	// Relies is true when the sender is no hub, and hears only what those it
-	// greets pass on.
-	Relies bool `json:"relies,omitempty"`
+	// Spoke is true when the sender is not a hub, and hears only what the hubs that it
+	// greets forward.
+	Spoke bool `json:"relies,omitempty"`
 }
 
-// greetingReply answers with the peer itself and, where the digests differ, whom it
-// knows: what has changed since the sender heard of it, and everyone now and then.
+// greetingReply describes the peer itself and, where the digests differ, the processes
+// that it knows: the changes since the sender's cursor, and periodically all.
 type greetingReply struct {
-	From  Process   `json:"from"`
-	Known []Process `json:"known,omitempty"`
-	Heard heardList `json:"heard,omitzero"`
-	// Missing are servers of which only a beat came and nothing else is known.
+	From   Process    `json:"from"`
+	Known  []Process  `json:"known,omitempty"`
+	Cursor listCursor `json:"heard,omitzero"`
+	// Missing are servers of which the peer has received only a heartbeat.
 	Missing []string `json:"missing,omitempty"`
 }
 
-// pullRequest asks for the configuration if it is newer than what is held.
+// pullRequest asks for the configuration if it is newer than the held one.
 type pullRequest struct {
 	From    Process `json:"from"`
 	Index   uint64  `json:"index"`
 	Version uint64  `json:"version"`
-	// Holds is true when there is a configuration of that version: 0 is a version
-	// too.
+	// Holds is true when a configuration of that version is held: 0 is a valid version.
 	Holds bool `json:"holds,omitempty"`
-	// Digest is that of the processes that were told with the last answer, Heard up to
-	// where it told them; both are 0 when all are wanted.
-	Digest uint64    `json:"digest"`
-	Heard  heardList `json:"heard,omitzero"`
-	// WaitMillis is how long to wait for something newer.
+	// Digest is the digest of the processes in the last answer and Cursor the position up
+	// to which that answer listed them; both are zero to request all processes.
+	Digest uint64     `json:"digest"`
+	Cursor listCursor `json:"heard,omitzero"`
+	// WaitMillis is how long to wait for a newer configuration.
 	WaitMillis int64 `json:"waitMillis,omitempty"`
 }
 
-// pullReply holds the newer state. Its body is left out when the version is the
-// one that was held.
+// pullReply holds the newer state. The body is omitted when the version is the one that
+// the requester holds.
 type pullReply struct {
 	Newer bool           `json:"newer"`
 	State document.State `json:"state"`
 	Known []Process      `json:"known,omitempty"`
-	// Digest is that of the processes known to the one that answers.
-	Digest uint64    `json:"digest"`
-	Heard  heardList `json:"heard,omitzero"`
+	// Digest is the digest of the processes that the answering process knows.
+	Digest uint64     `json:"digest"`
+	Cursor listCursor `json:"heard,omitzero"`
 	// Newest is the highest index that it has heard of at any process.
 	Newest uint64 `json:"newest"`
 }
@@ -120,8 +120,8 @@
 // permitRequest asks which model an engine without one may load.
 type permitRequest struct {
 	Service string `json:"service"`
-	// OnDisk are the models of which the engine keeps a copy: they cost the
-	// weight store nothing.
+	// OnDisk are the models of which the engine keeps a copy: loading them puts no load
+	// on the weight store.
 	OnDisk []string `json:"onDisk,omitempty"`
 }
 
@@ -130,8 +130,8 @@
 	Model string `json:"model,omitempty"`
 }
 
-// fate is how a proposal ended.
-type fate struct {
+// proposalResult is the outcome of a proposal.
+type proposalResult struct {
 	Committed bool   `json:"committed"`
 	Message   string `json:"message,omitempty"`
 }
--- a/internal/mesh/storm_test.go
+++ b/internal/mesh/overload_test.go
@@ -16,24 +16,24 @@
 	"github.com/rosemarypass/rosemarypass/internal/rpc"
 )
 
-// knowing returns a process, which does not run, that knows so many others.
-func knowing(others int) *Mesh {
+// meshWithPeers returns a Mesh that is not running and knows the given number of other processes.
+func meshWithPeers(others int) *Mesh {
 	m := New(Options{Self: Process{Name: "self", Address: "self:1", Started: 1, Entry: true}}, NewDocuments(decode, zap.NewNop()), zap.NewNop())
 	m.ctx = context.Background()
 	m.options.Self.Entry = false
 	for i := range others {
-		m.learn(Process{Name: fmt.Sprint("p", i), Address: fmt.Sprintf("p%d:1", i), Entry: true, Started: 1}, time.Now())
+		m.updateDirect(Process{Name: fmt.Sprint("p", i), Address: fmt.Sprintf("p%d:1", i), Entry: true, Started: 1}, time.Now())
 	}
 	m.options.Self.Entry = true
 	return m
 }
 
-// A log has no leader for a minute. Those who wait for a proof must not keep its members busy with their questions: the
-// longer it lasts and the more they are, the less each may ask.
-func TestAProcessWithoutAProofTriesEverMoreSeldom(t *testing.T) {
+// The log has no leader for a minute. Processes that wait for a proof must not overload its members with requests: the
+// longer the outage lasts and the more processes there are, the fewer requests each may send.
+func TestProofRetriesBackOff(t *testing.T) {
 	tries := func(processes int) (early, late int) {
 		synctest.Test(t, func(t *testing.T) {
-			m := knowing(processes - 1)
+			m := meshWithPeers(processes - 1)
 			began := time.Now()
 			m.prover.round = func() bool {
 				if time.Since(began) < 30*time.Second {
@@ -45,7 +45,7 @@
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 			defer cancel()
-			m.seekProof(ctx)
+			m.confirmConfig(ctx)
 			time.Sleep(time.Minute)
 		})
 		return early, late
@@ -55,13 +55,13 @@
 	if fewEarly < 10 || 2*fewLate > fewEarly {
 		t.Errorf("one of 8 tried %d times in half a minute and then %d times", fewEarly, fewLate)
 	}
-	if most := int(30 * proofTries.Rate); 400*manyEarly > 2*most || 400*manyLate > 2*most || manyEarly >= fewEarly {
+	if most := int(30 * proofBackoff.Rate); 400*manyEarly > 2*most || 400*manyLate > 2*most || manyEarly >= fewEarly {
 		t.Errorf("one of 400 tried %d times in half a minute and then %d times; all together may %d times", manyEarly, manyLate, most)
 	}
 }
 
-// Each question for a proof opened a connection of its own, and a member that answered late had thousands.
-func TestQuestionsToAProcessShareAConnection(t *testing.T) {
+// If each request for a proof opens a connection of its own, a member that answers late accumulates thousands of them.
+func TestCallsShareOneConnection(t *testing.T) {
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -73,12 +73,12 @@
 		_ = listener.Close()
 		server.Close()
 	})
-	m := knowing(0)
+	m := meshWithPeers(0)
 	m.options.Self.Entry = false
-	m.learn(Process{Address: listener.Addr().String(), Entry: true, Disk: true, Cluster: "c", Started: 1}, time.Now())
+	m.updateDirect(Process{Address: listener.Addr().String(), Entry: true, Disk: true, Cluster: "c", Started: 1}, time.Now())
 	t.Cleanup(m.closePeers)
 	for range 20 {
-		if m.askProof(t.Context()) {
+		if m.requestProof(t.Context()) {
 			t.Fatal("a member that found no proof has given one")
 		}
 	}
@@ -102,46 +102,47 @@
 	return conn, err
 }
 
-// A process is too busy to take greetings in time. Those whose senders have given them up must not pile up before it.
-func TestGreetingsOfOneProcessDoNotPileUp(t *testing.T) {
-	m := knowing(3)
+// A process is too busy to handle greetings in time. Greetings whose senders have given up must not queue up.
+func TestConcurrentGreetingIsRejected(t *testing.T) {
+	m := meshWithPeers(3)
 	again := greeting{From: Process{Address: "p0:1", Entry: true, Started: 1}}
 	m.mu.Lock()
 	first := make(chan error, 1)
 	go func() {
-		_, err := m.takeGreeting(t.Context(), again)
+		_, err := m.handleSync(t.Context(), again)
 		first <- err
 	}()
 	eventually(t, func() bool {
-		_, taking := m.taking.Load(again.From.Address)
-		return taking
+		_, busy := m.syncing.Load(again.From.Address)
+		return busy
 	})
-	if _, err := m.takeGreeting(t.Context(), again); !errors.Is(err, errGreetedTwice) {
+	if _, err := m.handleSync(t.Context(), again); !errors.Is(err, errGreetingInProgress) {
 		t.Errorf("a second greeting ended with %v while the first one waited", err)
 	}
 	m.mu.Unlock()
 	if err := <-first; err != nil {
 		t.Error(err)
 	}
-	if _, err := m.takeGreeting(t.Context(), again); err != nil {
+	if _, err := m.handleSync(t.Context(), again); err != nil {
 		t.Error(err)
 	}
 }
 
-// In a large fleet somebody always restarts, so that no two know quite the same. What is told of all the others must
-// not grow with their number for each greeting: entries had time for nothing else.
-func TestListsOfALargeFleetAreToldSeldomAndChangesAtOnce(t *testing.T) {
-	const others, lasts = 240, time.Minute
+// In a large fleet some process is always restarting, so that no two processes know exactly the same. The number of
+// process descriptions sent per greeting must not grow with the size of the fleet, or entries have no time for other
+// work.
+func TestFullListsAreRateLimited(t *testing.T) {
+	const others, duration = 240, time.Minute
 	synctest.Test(t, func(t *testing.T) {
-		m := knowing(others)
+		m := meshWithPeers(others)
 		from := Process{Address: "p0:1", Entry: true, Started: 1}
-		var heard heardList
-		told, changes := 0, 0
-		for began := time.Now(); time.Since(began) < lasts; time.Sleep(syncInterval) {
+		var cursor listCursor
+		sent, changes := 0, 0
+		for began := time.Now(); time.Since(began) < duration; time.Sleep(syncInterval) {
 			changes++
 			restarted := Process{Name: "p9", Address: "p9:1", Entry: true, Started: int64(1 + changes)}
-			m.learn(restarted, time.Now())
-			reply, err := m.takeGreeting(t.Context(), greeting{From: from, Digest: 1, Heard: heard})
+			m.updateDirect(restarted, time.Now())
+			reply, err := m.handleSync(t.Context(), greeting{From: from, Digest: 1, Cursor: cursor})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -152,26 +153,26 @@
 			if !found {
 				t.Fatalf("the restart %d is not told", changes)
 			}
-			told, heard = told+len(reply.Known), reply.Heard
+			sent, cursor = sent+len(reply.Known), reply.Cursor
 		}
-		whole := int(lasts/(others*listPause)) + 1
-		if most := whole*(others+2) + 3*changes; told > most {
-			t.Errorf("%d descriptions were told with %d greetings, %d is the most", told, changes, most)
+		whole := int(duration/(others*fullListInterval)) + 1
+		if most := whole*(others+2) + 3*changes; sent > most {
+			t.Errorf("%d descriptions were told with %d greetings, %d is the most", sent, changes, most)
 		}
 	})
 }
 
-// Somebody who heard another incarnation's list knows nothing of this one's.
-func TestAListIsToldWholeToWhoHeardAnotherIncarnation(t *testing.T) {
-	m := knowing(5)
-	all, heard := m.knownSince(heardList{})
+// A cursor into the list of another incarnation says nothing about this one's list.
+func TestFullListAfterIncarnationChange(t *testing.T) {
+	m := meshWithPeers(5)
+	all, cursor := m.knownSince(listCursor{})
 	if len(all) != 6 {
 		t.Fatalf("%d processes are told, 6 are known", len(all))
 	}
-	if again, _ := m.knownSince(heard); len(again) != 1 {
+	if again, _ := m.knownSince(cursor); len(again) != 1 {
 		t.Errorf("%d processes are told again", len(again))
 	}
-	if other, _ := m.knownSince(heardList{Of: heard.Of + 1, Change: heard.Change}); len(other) != 6 {
+	if other, _ := m.knownSince(listCursor{Incarnation: cursor.Incarnation + 1, Change: cursor.Change}); len(other) != 6 {
 		t.Errorf("%d processes are told to one who heard another incarnation, 6 are known", len(other))
 	}
 }
--- a/internal/mesh/pause.go
+++ b/internal/mesh/pause.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// awakeInterval is the pause between two signs that this process runs.
-	awakeInterval = 250 * time.Millisecond
-	// longestPause is how long a process may stand still and still act by what it
-	// holds: others may have acknowledged a change meanwhile, and a second is left of
-	// the time in which it must be in force.
-	longestPause = time.Second
+	// tickInterval is the interval between two ticks, which show that this process is
+	// running.
+	tickInterval = 250 * time.Millisecond
+	// maxPause is how long a process may be paused and still use the configuration that
+	// it holds. Others may have acknowledged a change meanwhile, which leaves one second
+	// of the time within which it must be in force.
+	maxPause = time.Second
 )
 
-// bootTime is a clock that goes on while the machine is suspended, and does not
-// jump with the time of day.
+// bootTime reads a clock that advances while the machine is suspended, and does not jump
+// with the time of day.
 func bootTime() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
@@ -28,63 +29,62 @@
 	return time.Duration(now.Nano())
 }
 
-// pauses notices that this process has stood still: frozen, or its machine
-// suspended.
-type pauses struct {
+// pauseDetector detects that this process was paused: frozen, or its machine suspended.
+type pauseDetector struct {
 	clock func() time.Duration
-	// awake is the clock at the last sign, in nanoseconds; 0 before the first.
-	awake atomic.Int64
-	// noticed counts the times that it has stood still.
-	noticed atomic.Int64
+	// lastTick is the clock at the last tick, in nanoseconds; 0 before the first.
+	lastTick atomic.Int64
+	// detected counts the pauses that were detected.
+	detected atomic.Int64
 }
 
-// since is how long ago the last sign was.
-func (p *pauses) since() time.Duration {
-	awake := p.awake.Load()
-	if awake == 0 {
+// sinceTick returns the time since the last tick.
+func (p *pauseDetector) sinceTick() time.Duration {
+	last := p.lastTick.Load()
+	if last == 0 {
 		return 0
 	}
-	return p.clock() - time.Duration(awake)
+	return p.clock() - time.Duration(last)
 }
 
-// count is how often the process has stood still, the present time included that
-// was not noticed yet.
-func (p *pauses) count() int64 {
-	count := p.noticed.Load()
-	if p.since() >= longestPause {
+// count returns the number of pauses, including a current one that has not been detected
+// yet.
+func (p *pauseDetector) count() int64 {
+	count := p.detected.Load()
+	if p.sinceTick() >= maxPause {
 		count++
 	}
 	return count
 }
 
-// sign notes that the process runs.
-func (p *pauses) sign() { p.awake.Store(int64(p.clock())) }
+// tick records that the process is running.
+func (p *pauseDetector) tick() { p.lastTick.Store(int64(p.clock())) }
 
-// Usable reports whether requests may be admitted, routed and refused by what is
-// held: it is confirmed, and this process has not stood still since.
+// Usable reports whether requests may be admitted, routed and refused by the held
+// configuration: it is confirmed, and this process has not been paused since.
 func (m *Mesh) Usable() bool {
-	return m.documents.Current().Usable() && m.pauses.since() < longestPause
+	return m.documents.Current().Usable() && m.pauses.sinceTick() < maxPause
 }
 
-// keepConfirmed seeks a proof for what is held at the start, and again whenever
-// the process has stood still.
-func (m *Mesh) keepConfirmed(ctx context.Context) {
-	ticker := time.NewTicker(awakeInterval)
+// watchPauses seeks a proof of freshness for the held configuration at the start, and
+// again after each pause of the process.
+func (m *Mesh) watchPauses(ctx context.Context) {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	m.pauses.sign()
-	m.duties.Go(func() { m.seekProof(ctx) })
+	m.pauses.tick()
+	m.tasks.Go(func() { m.confirmConfig(ctx) })
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		if stood := m.pauses.since(); stood >= longestPause {
-			m.pauses.noticed.Add(1)
+		if paused := m.pauses.sinceTick(); paused >= maxPause {
+			m.pauses.detected.Add(1)
 			m.documents.Doubt()
-			m.log.Warn("the process has stood still", zap.Duration("for", stood))
-			m.duties.Go(func() { m.seekProof(ctx) })
+			m.log.Warn("the process has stood still", zap.Duration("for", paused))
+			m.tasks.Go(func() { m.confirmConfig(ctx) })
 		}
-		m.pauses.sign()
+		m.pauses.tick()
 	}
 }
--- a/internal/mesh/pause_test.go
+++ b/internal/mesh/pause_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// A process is frozen, or its machine suspended, while a change is acknowledged elsewhere. Awake again, it must not go on
-// by what it held before it has asked whether that is the newest.
-func TestAProcessThatStoodStillAsksBeforeItActs(t *testing.T) {
+// A process is frozen, or its machine suspended, while a change is acknowledged elsewhere. After it resumes, it must
+// not use the configuration that it held before it has confirmed that it is the newest.
+func TestPausedProcessReconfirmsConfig(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	f.start(0, true)
-	var ahead atomic.Int64
-	f.prepare = func(m *Mesh) {
-		m.pauses.clock = func() time.Duration { return bootTime() + time.Duration(ahead.Load()) }
+	var offset atomic.Int64
+	f.configure = func(m *Mesh) {
+		m.pauses.clock = func() time.Duration { return bootTime() + time.Duration(offset.Load()) }
 	}
 	f.start(1, true)
 	f.put(0, 7)
 	eventually(t, f.nodes[1].Usable)
 	f.stop(0)
-	ahead.Store(int64(longestPause))
+	offset.Store(int64(maxPause))
 	if f.nodes[1].Usable() {
 		t.Fatal("it acts by what it held before it stood still")
 	}
--- a/internal/mesh/peer.go
+++ b/internal/mesh/peer.go
@@ -19,74 +19,78 @@
 // peer is another entry.
 type peer struct {
 	mesh *Mesh
-	// client carries greetings, questions all other calls: an answer that is large
-	// or waits for something must not hold up the next greeting.
-	client    *rpc.Client
-	questions *rpc.Client
-	kick      chan struct{}
-	met       time.Time
-
-	// The mesh's mu guards these.
+	// syncClient carries greetings and callClient all other calls: a large answer or one
+	// that waits must not delay the next greeting.
+	syncClient *rpc.Client
+	callClient *rpc.Client
+	kick       chan struct{}
+	firstSeen  time.Time
+
+	// The fields below are guarded by mesh.mu.
 	process Process
-	// linked is true when this process greets it, greetedUs is when it last
-	// greeted this one, and agrees is true when it then knew the same processes.
-	linked    bool
-	greetedUs time.Time
-	agrees    bool
-	// relies is true when it hears only what those it greets pass on. It says so
-	// itself: the two may know different processes for a moment, and differ on
-	// who is a hub.
-	relies bool
-	// heard is when it was last heard, word when anyone last heard it.
-	heard time.Time
-	word  time.Time
-	// failed is when it last failed to answer; 0 once it has.
-	failed time.Time
-	lost   bool
-	// change is this process's count of changes as of its last one.
-	change uint64
-	// listed is when it last told all the processes that it knows, and listedTo when it
-	// was last told all; heardList is up to where it has told its own.
-	listed    time.Time
-	listedTo  time.Time
-	heardList heardList
-	// confirmed is the roster change up to which the peer has heard.
-	confirmed uint64
-	// missing are servers of which it knows nothing but that they live.
+	// linked is true when this process greets the peer. lastGreeting is when the peer
+	// last greeted this process, and inSync is true when both then knew the same
+	// processes.
+	linked       bool
+	lastGreeting time.Time
+	inSync       bool
+	// spoke is true when the peer hears only what the hubs that it greets forward. The
+	// peer reports this itself: both sides may briefly know different processes and
+	// disagree on which are hubs.
+	spoke bool
+	// lastHeard is when this process last heard the peer, lastHeardAny when any process
+	// did.
+	lastHeard    time.Time
+	lastHeardAny time.Time
+	// lastFailure is when the peer last failed to answer; zero after a success.
+	lastFailure time.Time
+	lost        bool
+	// changeSeq is the value of Mesh.changes at the last change to this peer.
+	changeSeq uint64
+	// listReceived is when the peer last sent its full process list, listSent is when it
+	// was last sent the full list, and cursor is the position up to which the peer's own
+	// list has been received.
+	listReceived time.Time
+	listSent     time.Time
+	cursor       listCursor
+	// acked is the roster change up to which the peer is up to date.
+	acked uint64
+	// missing lists servers of which the peer has received only a heartbeat.
 	missing []string
-	// strikes are what the peer has not been told.
-	strikes []suspicion.Strike
+	// queuedStrikes holds the strikes that have not been sent to the peer.
+	queuedStrikes []suspicion.Strike
 }
 
-// way is how a server was heard of, which decides whom to tell that it lives.
-type way uint8
+// via is how a server was heard of. It decides which peers receive its heartbeat.
+type via uint8
 
 const (
-	// wayDirect: from the server itself, or from a peer that relies on this
-	// process; all must be told.
-	wayDirect way = iota
-	// wayHub: from a hub, which tells the other hubs itself; only those who rely on
-	// this process must be told.
-	wayHub
+	// viaDirect: from the server itself, or from a peer that depends on this process as
+	// its hub; all peers must be told.
+	viaDirect via = iota
+	// viaHub: from a hub, which tells the other hubs itself; only spokes of this process
+	// must be told.
+	viaHub
 )
 
-// active is true when the peer must be told news: one of the two greets the
+// active reports whether updates must be sent to the peer: one of the two greets the
 // other. The caller holds mu.
 func (q *peer) active(now time.Time) bool {
-	return q.linked || now.Sub(q.greetedUs) < heardAge
+	return q.linked || now.Sub(q.lastGreeting) < reachableTimeout
 }
 
-// isLost is true while the peer does not answer. The caller holds mu.
+// isLost reports whether the peer has recently failed to answer and has not been heard
+// since. The caller holds mu.
 func (q *peer) isLost(now time.Time) bool {
-	return !q.failed.IsZero() && now.Sub(q.failed) < lostAge && now.Sub(q.heard) > heardAge
+	return !q.lastFailure.IsZero() && now.Sub(q.lastFailure) < lostTimeout && now.Sub(q.lastHeard) > reachableTimeout
 }
 
-// run greets the peer while there is reason to, and rests otherwise.
+// run greets the peer while it is active, and idles until woken otherwise.
 func (q *peer) run(ctx context.Context) {
 	defer q.close()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var trouble backoff.Trouble
+	var failures backoff.Trouble
 	for {
 		select {
 		case <-ctx.Done():
@@ -94,22 +98,22 @@
 		case <-q.kick:
 		case <-timer.C:
 		}
-		news, rest := q.next(time.Now())
-		switch rest {
-		case restForgotten:
+		updates, action := q.next(time.Now())
+		switch action {
+		case actionStop:
 			return
-		case restUntilWoken:
+		case actionIdle:
 			continue
-		case restShortly:
+		case actionSkip:
 			timer.Reset(syncInterval)
 			continue
 		}
 		pause := syncInterval
-		if err := q.greet(ctx, news, backoff.Patience(syncTimeout, longestSync, trouble.Lasts(time.Now()))); err != nil {
-			pause = greetingTries.Pause(trouble.Failed(time.Now()), 0, rand.Float64())
+		if err := q.greet(ctx, updates, backoff.Patience(syncTimeout, maxSyncTimeout, failures.Lasts(time.Now()))); err != nil {
+			pause = greetingBackoff.Pause(failures.Failed(time.Now()), 0, rand.Float64())
 		} else {
-			trouble.Over()
-			if news.more {
+			failures.Over()
+			if updates.more {
 				q.wake()
 			}
 		}
@@ -117,88 +121,88 @@
 	}
 }
 
-// rest says what to do instead of a greeting.
-type rest uint8
+// syncAction is the decision of peer.next.
+type syncAction uint8
 
 const (
-	restNot rest = iota
-	// restShortly passes over one greeting: the peer has just greeted this
-	// process, and there is no news.
-	restShortly
-	restUntilWoken
-	restForgotten
+	actionGreet syncAction = iota
+	// actionSkip skips one greeting: the peer has just greeted this process, and there
+	// are no updates.
+	actionSkip
+	actionIdle
+	actionStop
 )
 
-// next decides whether to greet now, and with which news.
-func (q *peer) next(now time.Time) (pending, rest) {
+// next decides whether to greet now, and returns the updates to send.
+func (q *peer) next(now time.Time) (pending, syncAction) {
 	m := q.mesh
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.peers[q.process.Address] != q {
-		return pending{}, restForgotten
+		return pending{}, actionStop
 	}
 	if !q.active(now) {
-		return pending{}, restUntilWoken
+		return pending{}, actionIdle
 	}
-	news := q.news(now)
-	if !news.empty() {
-		return news, restNot
+	updates := q.pendingUpdates(now)
+	if !updates.empty() {
+		return updates, actionGreet
 	}
-	q.confirmed = news.change
-	// One that relies on the peer must say so itself.
-	if !q.linked || q.agrees && !m.relies && now.Sub(q.greetedUs) < syncInterval && !news.relist {
-		return pending{}, restShortly
+	q.acked = updates.change
+	// A spoke must greet its hub to tell it that it depends on it.
+	if !q.linked || q.inSync && !m.spoke && now.Sub(q.lastGreeting) < syncInterval && !updates.relist {
+		return pending{}, actionSkip
 	}
-	return news, restNot
+	return updates, actionGreet
 }
 
-// greet sends the peer what it may not have heard.
-func (q *peer) greet(ctx context.Context, sent pending, patience time.Duration) error {
+// greet sends the pending updates to the peer and processes its reply.
+func (q *peer) greet(ctx context.Context, sent pending, timeout time.Duration) error {
 	sent.From, sent.Digest = q.mesh.Self(), q.mesh.knownDigest()
 	if sent.relist {
 		sent.Digest = 0
 	}
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var reply greetingReply
-	if err := q.client.Call(ctx, methodSync, sent.greeting, &reply); err != nil {
-		q.noteLost(err)
+	if err := q.syncClient.Call(ctx, methodSync, sent.greeting, &reply); err != nil {
+		q.noteFailure(err)
 		return err
 	}
 	now := time.Now()
-	q.mesh.learn(reply.From, now)
+	q.mesh.updateDirect(reply.From, now)
 	q.mesh.mu.Lock()
-	q.confirmed = max(q.confirmed, sent.change)
-	q.strikes = q.strikes[min(len(sent.Strikes), len(q.strikes)):]
-	q.missing, q.heardList = reply.Missing, reply.Heard
-	regained := q.lost
-	q.lost, q.failed = false, time.Time{}
+	q.acked = max(q.acked, sent.change)
+	q.queuedStrikes = q.queuedStrikes[min(len(sent.Strikes), len(q.queuedStrikes)):]
+	q.missing, q.cursor = reply.Missing, reply.Cursor
+	recovered := q.lost
+	q.lost, q.lastFailure = false, time.Time{}
 	if sent.relist {
-		q.listed = now
+		q.listReceived = now
 	}
 	for _, p := range reply.Known {
-		q.mesh.remember(p, now)
+		q.mesh.updateIndirect(p, now)
 	}
-	q.mesh.noteProgress()
+	q.mesh.notifyProgress()
 	q.mesh.mu.Unlock()
-	if regained {
+	if recovered {
 		q.mesh.log.Info("entry reached again", zap.String("peer", reply.From.Name))
 	}
 	return nil
 }
 
-func (q *peer) noteLost(err error) {
+func (q *peer) noteFailure(err error) {
 	now := time.Now()
 	q.mesh.mu.Lock()
-	if q.failed.IsZero() || !q.isLost(now) {
+	if q.lastFailure.IsZero() || !q.isLost(now) {
 		q.mesh.relink = true
 	}
-	q.failed = now
-	lost := !q.lost && !q.heard.IsZero() && now.Sub(q.heard) > heardAge
+	q.lastFailure = now
+	lost := !q.lost && !q.lastHeard.IsZero() && now.Sub(q.lastHeard) > reachableTimeout
 	if lost {
 		q.lost = true
-		// What it missed is told from the beginning.
-		q.confirmed = 0
+		// The peer has missed updates: resend from the beginning.
+		q.acked = 0
 	}
 	name := q.process.Name
 	q.mesh.mu.Unlock()
@@ -207,36 +211,36 @@
 	}
 }
 
-// pending is a greeting with what decides what its answer confirms.
+// pending is a greeting together with the state that its reply acknowledges.
 type pending struct {
 	greeting
 	change uint64
-	// relist is true when the peer is asked for all the processes that it knows.
+	// relist is true when the peer is asked for all processes that it knows.
 	relist bool
-	// more is true when not all news went into it.
+	// more is true when not all updates fit into the greeting.
 	more bool
 }
 
 func (p *pending) empty() bool { return len(p.Servers)+len(p.Beats)+len(p.Strikes) == 0 }
 
-// news lists what the peer has not confirmed: in full what says more than that
-// a server lives, by a beat the servers that it hears of on no shorter way. The
-// caller holds mu.
-func (q *peer) news(now time.Time) pending {
+// pendingUpdates lists what the peer has not acknowledged: servers with material changes
+// in full, and heartbeats of the servers that the peer does not hear of on a shorter
+// path. The caller holds mu.
+func (q *peer) pendingUpdates(now time.Time) pending {
 	m := q.mesh
-	p := pending{change: q.confirmed, relist: now.Sub(q.listed) >= relistInterval}
-	p.Relies, p.Heard = m.relies, q.heardList
-	p.Strikes = slices.Clone(q.strikes)
-	for _, e := range m.roster.Since(q.confirmed) {
-		if len(p.Servers) == greetingServers {
+	p := pending{change: q.acked, relist: now.Sub(q.listReceived) >= relistInterval}
+	p.Spoke, p.Cursor = m.spoke, q.cursor
+	p.Strikes = slices.Clone(q.queuedStrikes)
+	for _, e := range m.roster.Since(q.acked) {
+		if len(p.Servers) == maxGreetingServers {
 			p.more = true
 			break
 		}
 		p.change = e.Change
 		switch {
-		case e.Material > q.confirmed:
+		case e.Material > q.acked:
 			p.Servers = append(p.Servers, e.Server)
-		case m.heardFrom[e.ID] == wayDirect || q.relies:
+		case m.heardVia[e.ID] == viaDirect || q.spoke:
 			p.Beats = append(p.Beats, roster.Beat{ID: e.ID, Born: e.Born, Sequence: e.Sequence})
 		}
 	}
@@ -251,7 +255,7 @@
 	return p
 }
 
-// wake makes the peer's duty look at once whether there is news.
+// wake makes the peer's task check immediately for updates.
 func (q *peer) wake() {
 	select {
 	case q.kick <- struct{}{}:
@@ -259,60 +263,60 @@
 	}
 }
 
-// errGreetedTwice means that a greeting came while an earlier one of the same process
-// still waited: its sender has given that one up.
-var errGreetedTwice = errors.New("an earlier greeting of this process is still being taken")
+// errGreetingInProgress means that a greeting arrived while an earlier one from the same
+// process was still being handled. The sender has given up on the earlier one.
+var errGreetingInProgress = errors.New("an earlier greeting of this process is still being taken")
 
-func (m *Mesh) takeGreeting(_ context.Context, in greeting) (greetingReply, error) {
-	if _, taking := m.taking.LoadOrStore(in.From.Address, true); taking {
-		return greetingReply{}, errGreetedTwice
+func (m *Mesh) handleSync(_ context.Context, in greeting) (greetingReply, error) {
+	if _, busy := m.syncing.LoadOrStore(in.From.Address, true); busy {
+		return greetingReply{}, errGreetingInProgress
 	}
-	defer m.taking.Delete(in.From.Address)
+	defer m.syncing.Delete(in.From.Address)
 	now := time.Now()
-	m.learn(in.From, now)
+	m.updateDirect(in.From, now)
 	digest := m.knownDigest()
 	m.mu.Lock()
 	from := m.peers[in.From.Address]
-	reply := greetingReply{Missing: m.takeServers(from, in, now)}
-	m.takeStrikes(from, !in.Relies, in.Strikes, now)
+	reply := greetingReply{Missing: m.mergeServers(from, in, now)}
+	m.mergeStrikes(from, !in.Spoke, in.Strikes, now)
 	if from != nil {
 		wasActive := from.active(now)
-		from.greetedUs, from.agrees, from.relies = now, in.Digest == digest, in.Relies
+		from.lastGreeting, from.inSync, from.spoke = now, in.Digest == digest, in.Spoke
 		if !wasActive {
 			from.wake()
 		}
 	}
-	whole := in.Digest == 0 || from == nil || now.Sub(from.listedTo) >= time.Duration(len(m.peers))*listPause
-	if digest != in.Digest && whole && from != nil {
-		from.listedTo = now
+	sendAll := in.Digest == 0 || from == nil || now.Sub(from.listSent) >= time.Duration(len(m.peers))*fullListInterval
+	if digest != in.Digest && sendAll && from != nil {
+		from.listSent = now
 	}
 	m.mu.Unlock()
 	reply.From = m.Self()
 	switch {
 	case digest == in.Digest:
-		_, reply.Heard = m.knownSince(in.Heard)
-	case whole:
-		reply.Known, reply.Heard = m.knownSince(heardList{})
+		_, reply.Cursor = m.knownSince(in.Cursor)
+	case sendAll:
+		reply.Known, reply.Cursor = m.knownSince(listCursor{})
 	default:
-		reply.Known, reply.Heard = m.knownSince(in.Heard)
+		reply.Known, reply.Cursor = m.knownSince(in.Cursor)
 	}
 	return reply, nil
 }
 
-// takeServers takes the servers of a greeting, and passes on what those who
-// greet this process as their hub could not hear otherwise. It returns the
-// servers of which no more is known than that they live. The caller holds mu.
-func (m *Mesh) takeServers(from *peer, in greeting, now time.Time) (missing []string) {
-	heard := wayHub
-	if in.Relies {
-		heard = wayDirect
+// mergeServers merges the servers of a greeting into the roster and wakes the peers that
+// depend on this process to forward the changes. It returns the servers of which only a
+// heartbeat is known. The caller holds mu.
+func (m *Mesh) mergeServers(from *peer, in greeting, now time.Time) (missing []string) {
+	path := viaHub
+	if in.Spoke {
+		path = viaDirect
 	}
 	anyMaterial := false
 	for _, s := range in.Servers {
-		news, material := m.roster.Take(s, now)
-		if news {
-			m.heardFrom[s.ID] = heard
-			delete(m.unheard, s.ID)
+		isNew, material := m.roster.Take(s, now)
+		if isNew {
+			m.heardVia[s.ID] = path
+			delete(m.diskOnly, s.ID)
 		}
 		anyMaterial = anyMaterial || material
 	}
@@ -323,68 +327,67 @@
 			continue
 		}
 		if b.Sequence > before.Sequence {
-			m.heardFrom[b.ID] = heard
-			delete(m.unheard, b.ID)
+			m.heardVia[b.ID] = path
+			delete(m.diskOnly, b.ID)
 		}
 	}
 	if len(in.Servers) > 0 {
-		m.noteProgress()
+		m.notifyProgress()
 	}
 	if anyMaterial {
-		for _, q := range m.passOn(from, !in.Relies, now) {
+		for _, q := range m.relayTargets(from, !in.Spoke, now) {
 			q.wake()
 		}
 	}
 	return missing
 }
 
-// passOn lists the peers that must be told what came from one: those that rely on
-// this process and, unless it came from a hub, all others. The caller holds mu.
-func (m *Mesh) passOn(from *peer, fromHub bool, now time.Time) []*peer {
+// relayTargets lists the peers to which an update from a peer must be forwarded: the
+// spokes of this process and, unless it came from a hub, all others. The caller holds mu.
+func (m *Mesh) relayTargets(from *peer, fromHub bool, now time.Time) []*peer {
 	var others []*peer
 	for _, q := range m.peers {
-		if q != from && q.active(now) && (!fromHub || q.relies) {
+		if q != from && q.active(now) && (!fromHub || q.spoke) {
 			others = append(others, q)
 		}
 	}
 	return others
 }
 
-// maxStrikesUntold bounds the strikes that wait for a peer that is away.
-const maxStrikesUntold = 256
+// maxQueuedStrikes bounds the strikes that are queued for an unreachable peer.
+const maxQueuedStrikes = 256
 
-// Strike tells all entries that a server crashed under a request.
+// Strike records that a server crashed while running a request, and tells all entries.
 func (m *Mesh) Strike(strike suspicion.Strike) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.log.Warn("a backend server ended while it ran a request", zap.Uint64("fingerprint", strike.Fingerprint), zap.String("server", strike.Server))
-	m.takeStrikes(nil, false, []suspicion.Strike{strike}, time.Now())
+	m.mergeStrikes(nil, false, []suspicion.Strike{strike}, time.Now())
 }
 
-// takeStrikes takes strikes and passes on those that are news. The caller holds
-// mu.
-func (m *Mesh) takeStrikes(from *peer, fromHub bool, strikes []suspicion.Strike, now time.Time) {
+// mergeStrikes records strikes and queues new ones for forwarding. The caller holds mu.
+func (m *Mesh) mergeStrikes(from *peer, fromHub bool, strikes []suspicion.Strike, now time.Time) {
 	for _, strike := range strikes {
 		if !m.strikes.Take(strike, now) {
 			continue
 		}
-		for _, q := range m.passOn(from, fromHub, now) {
-			if len(q.strikes) < maxStrikesUntold {
-				q.strikes = append(q.strikes, strike)
+		for _, q := range m.relayTargets(from, fromHub, now) {
+			if len(q.queuedStrikes) < maxQueuedStrikes {
+				q.queuedStrikes = append(q.queuedStrikes, strike)
 			}
 			q.wake()
 		}
 	}
 }
 
-// Held is true for a request that has crashed too many servers.
+// Held reports whether a request has crashed too many servers to run again.
 func (m *Mesh) Held(fingerprint uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.strikes.Held(fingerprint, time.Now())
 }
 
-// Ended is true when a server is known to be gone or to have started anew.
+// Ended reports whether a server is unknown, gone or has restarted.
 func (m *Mesh) Ended(id string, born int64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -392,22 +395,22 @@
 	return !ok || e.Gone || e.Born != born
 }
 
-// Announce takes what a backend server says of itself. For news that others
-// must act on it returns once the entries that can be reached have confirmed
-// them, or ErrParted.
+// Announce records an announcement of a backend server. For a server that leaves it
+// returns once the reachable entries have acknowledged the change, or with
+// ErrPartitioned.
 func (m *Mesh) Announce(ctx context.Context, s roster.Server) error {
 	if !m.Connected() {
-		return ErrParted
+		return ErrPartitioned
 	}
 	now := time.Now()
 	m.mu.Lock()
 	_, material := m.roster.Take(s, now)
-	m.heardFrom[s.ID] = wayDirect
-	delete(m.unheard, s.ID)
+	m.heardVia[s.ID] = viaDirect
+	delete(m.diskOnly, s.ID)
 	change := m.roster.Change()
 	if material {
 		m.wakeAll()
-		m.noteProgress()
+		m.notifyProgress()
 	}
 	m.mu.Unlock()
 	if !material {
@@ -418,13 +421,13 @@
 	if !s.Leaving {
 		return nil
 	}
-	return m.confirm(ctx, change)
+	return m.waitAcked(ctx, change)
 }
 
-// Leave marks a server as gone and spreads it like Announce.
+// Leave marks a server as gone and spreads the change like Announce.
 func (m *Mesh) Leave(ctx context.Context, id string, born int64) error {
 	if !m.Connected() {
-		return ErrParted
+		return ErrPartitioned
 	}
 	m.mu.Lock()
 	if known, ok := m.roster.Get(id); ok && known.Born > born && born != 0 {
@@ -435,31 +438,31 @@
 		m.mu.Unlock()
 		return nil
 	}
-	m.heardFrom[id] = wayDirect
+	m.heardVia[id] = viaDirect
 	change := m.roster.Change()
 	m.wakeAll()
-	m.noteProgress()
+	m.notifyProgress()
 	m.mu.Unlock()
 	m.log.Info("backend server left", zap.String("server", id))
-	return m.confirm(ctx, change)
+	return m.waitAcked(ctx, change)
 }
 
-// wakeAll tells everyone at once. The caller holds mu.
+// wakeAll wakes all active peers. The caller holds mu.
 func (m *Mesh) wakeAll() {
-	for _, q := range m.passOn(nil, false, time.Now()) {
+	for _, q := range m.relayTargets(nil, false, time.Now()) {
 		q.wake()
 	}
 }
 
-// confirm waits until all entries that can be reached have heard of a change.
-// A server that was told so and still got work would be cut off in the middle
-// of it.
-func (m *Mesh) confirm(ctx context.Context, change uint64) error {
+// waitAcked waits until all reachable entries have acknowledged a change. A server that
+// was told that it may leave and then still received work would end in the middle of a
+// request.
+func (m *Mesh) waitAcked(ctx context.Context, change uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	for {
 		m.mu.Lock()
-		missing := m.unconfirmed(change, time.Now())
+		missing := m.countUnacked(change, time.Now())
 		progress := m.progress
 		m.mu.Unlock()
 		if missing == 0 {
@@ -471,17 +474,17 @@
 			if m.Connected() {
 				return nil
 			}
-			return ErrParted
+			return ErrPartitioned
 		}
 	}
 }
 
-// unconfirmed counts the reached entries that have not confirmed a change. The
+// countUnacked counts the reachable entries that have not acknowledged a change. The
 // caller holds mu.
-func (m *Mesh) unconfirmed(change uint64, now time.Time) int {
+func (m *Mesh) countUnacked(change uint64, now time.Time) int {
 	missing := 0
 	for _, q := range m.peers {
-		if q.active(now) && q.process.Started != 0 && now.Sub(q.heard) < heardAge && q.confirmed < change {
+		if q.active(now) && q.process.Started != 0 && now.Sub(q.lastHeard) < reachableTimeout && q.acked < change {
 			missing++
 		}
 	}
--- a/internal/mesh/peers.go
+++ b/internal/mesh/peers.go
@@ -13,64 +13,64 @@
 	"github.com/rosemarypass/rosemarypass/internal/rpc"
 )
 
-// meet begins to know a process.
-func (m *Mesh) meet(p Process) {
+// addPeer adds a process to the known peers.
+func (m *Mesh) addPeer(p Process) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.meetLocked(p, time.Now())
+	m.addPeerLocked(p, time.Now())
 }
 
-func (m *Mesh) meetLocked(p Process, now time.Time) *peer {
+func (m *Mesh) addPeerLocked(p Process, now time.Time) *peer {
 	if known := m.peers[p.Address]; known != nil {
 		return known
 	}
 	silent := time.Duration(p.SilentMillis) * time.Millisecond
-	if p.Address == m.options.Self.Address || !p.Entry || silent > forgetAge || m.ctx == nil || m.ctx.Err() != nil {
+	if p.Address == m.options.Self.Address || !p.Entry || silent > forgetTimeout || m.ctx == nil || m.ctx.Err() != nil {
 		return nil
 	}
 	p.SilentMillis = 0
-	q := &peer{mesh: m, process: p, met: now, word: now.Add(-silent), kick: make(chan struct{}, 1), client: rpc.NewClient(p.Address), questions: rpc.NewClient(p.Address)}
+	q := &peer{mesh: m, process: p, firstSeen: now, lastHeardAny: now.Add(-silent), kick: make(chan struct{}, 1), syncClient: rpc.NewClient(p.Address), callClient: rpc.NewClient(p.Address)}
 	m.peers[p.Address] = q
 	m.digest += p.digest()
 	m.noteChange(q)
 	m.relink = true
-	// Until it has described itself nobody can tell whether it is to be greeted.
+	// Until the process has described itself, it is unknown whether it should be greeted.
 	q.linked = p.Started == 0
 	if m.options.Self.Entry {
 		ctx := m.ctx
-		m.duties.Go(func() { q.run(ctx) })
+		m.tasks.Go(func() { q.run(ctx) })
 	}
 	return q
 }
 
-// learn takes what a process says of itself.
-func (m *Mesh) learn(p Process, now time.Time) {
+// updateDirect records what a process reports of itself.
+func (m *Mesh) updateDirect(p Process, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if q := m.meetLocked(p, now); q != nil {
+	if q := m.addPeerLocked(p, now); q != nil {
 		if q.process.Started != p.Started {
-			q.confirmed = 0
+			q.acked = 0
 		}
-		m.describe(q, p)
-		q.heard, q.word = now, now
+		m.setProcess(q, p)
+		q.lastHeard, q.lastHeardAny = now, now
 	}
-	m.noteProgress()
+	m.notifyProgress()
 }
 
-// remember takes what another process tells of one. Whoever is heard directly
-// is believed rather.
-func (m *Mesh) remember(p Process, now time.Time) {
-	q := m.meetLocked(p, now)
-	word := now.Add(-time.Duration(p.SilentMillis) * time.Millisecond)
-	if q == nil || p.Started == 0 || now.Sub(q.heard) < heardAge || !word.After(q.word) {
+// updateIndirect records what a process reports of another one. What was recently heard
+// directly takes precedence.
+func (m *Mesh) updateIndirect(p Process, now time.Time) {
+	q := m.addPeerLocked(p, now)
+	lastHeard := now.Add(-time.Duration(p.SilentMillis) * time.Millisecond)
+	if q == nil || p.Started == 0 || now.Sub(q.lastHeard) < reachableTimeout || !lastHeard.After(q.lastHeardAny) {
 		return
 	}
-	m.describe(q, p)
-	q.word = word
+	m.setProcess(q, p)
+	q.lastHeardAny = lastHeard
 }
 
-// describe replaces what is known of a peer. The caller holds mu.
-func (m *Mesh) describe(q *peer, p Process) {
+// setProcess replaces the description of a peer. The caller holds mu.
+func (m *Mesh) setProcess(q *peer, p Process) {
 	p.SilentMillis = 0
 	before, after := q.process.digest(), p.digest()
 	q.process = p
@@ -81,20 +81,21 @@
 	}
 }
 
-// noteChange counts a change of what is known of a peer. The caller holds mu.
+// noteChange counts a change to what is known of a peer. The caller holds mu.
 func (m *Mesh) noteChange(q *peer) {
 	m.changes++
-	q.change = m.changes
+	q.changeSeq = m.changes
 }
 
-// digest stands for all that others must know of a process. The index of its
-// configuration is told by itself only: it would change all digests with each
-// change of the configuration.
+// digest hashes all that other processes must know of a process. The index of its
+// configuration is excluded and only reported by the process itself: otherwise each
+// configuration change would change all digests.
 func (p *Process) digest() uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%s %d %s %s %t", p.Address, p.Started, p.Member, p.Cluster, p.Leads))
 }
 
-// knownDigest is the same wherever the same processes are known.
+// knownDigest returns a digest of all known processes. It is equal on processes that know
+// the same ones.
 func (m *Mesh) knownDigest() uint64 {
 	self := m.Self()
 	m.mu.Lock()
@@ -102,93 +103,95 @@
 	return m.digest + self.digest()
 }
 
-// noteProgress wakes those who wait for peers or servers. The caller holds mu.
-func (m *Mesh) noteProgress() {
+// notifyProgress wakes the goroutines that wait for peers or servers. The caller holds
+// mu.
+func (m *Mesh) notifyProgress() {
 	close(m.progress)
 	m.progress = make(chan struct{})
 }
 
-// Known lists all processes that were heard of, this one included.
+// Known lists all known processes, including this one.
 func (m *Mesh) Known() []Process {
-	known, _ := m.knownSince(heardList{})
+	known, _ := m.knownSince(listCursor{})
 	return known
 }
 
-// knownSince lists the processes of which more is known than somebody has heard from
-// this one, and this one, and says up to where that is.
-func (m *Mesh) knownSince(heard heardList) ([]Process, heardList) {
+// knownSince lists this process and the processes that have changed since the cursor, and
+// returns the new cursor.
+func (m *Mesh) knownSince(cursor listCursor) ([]Process, listCursor) {
 	self := m.Self()
 	known := []Process{self}
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, q := range m.peers {
-		if q.process.Started != 0 && (heard.Of != self.Started || q.change > heard.Change) {
+		if q.process.Started != 0 && (cursor.Incarnation != self.Started || q.changeSeq > cursor.Change) {
 			p := q.process
-			p.SilentMillis = now.Sub(q.word).Milliseconds()
+			p.SilentMillis = now.Sub(q.lastHeardAny).Milliseconds()
 			known = append(known, p)
 		}
 	}
 	slices.SortFunc(known, func(a, b Process) int { return cmp.Compare(a.Address, b.Address) })
-	return known, heardList{Of: self.Started, Change: m.changes}
+	return known, listCursor{Incarnation: self.Started, Change: m.changes}
 }
 
-// forgetSilent forgets those of whom nobody has heard for long while others were
-// heard. A process that was cut off from all must find them again by itself, so
-// that it forgets nobody meanwhile. The caller holds mu.
+// forgetSilent removes peers that no process has heard for long while others were heard.
+// A process that was cut off from all others must find them again on its own, so it
+// forgets none of them meanwhile. The caller holds mu.
 func (m *Mesh) forgetSilent() {
 	var newest time.Time
 	for _, q := range m.peers {
-		if q.word.After(newest) {
-			newest = q.word
+		if q.lastHeardAny.After(newest) {
+			newest = q.lastHeardAny
 		}
 	}
 	for address, q := range m.peers {
-		if newest.Sub(q.word) < forgetAge {
+		if newest.Sub(q.lastHeardAny) < forgetTimeout {
 			continue
 		}
 		delete(m.peers, address)
 		m.digest -= q.process.digest()
 		m.relink = true
-		// The duty that greets it ends, and closes its connections.
+		// The task that greets the peer ends and closes its connections.
 		q.wake()
 	}
 }
 
-// close closes the connections to a peer.
+// close closes the connections to the peer.
 func (q *peer) close() {
-	q.client.Close()
-	q.questions.Close()
+	q.syncClient.Close()
+	q.callClient.Close()
 }
 
-// ask calls a process on the connection that is kept for questions to it.
-func (m *Mesh) ask(ctx context.Context, address, method string, in, out any) error {
+// call calls a method of another process on the peer's connection for calls, or on a
+// temporary one if it is unknown.
+func (m *Mesh) call(ctx context.Context, address, method string, in, out any) error {
 	m.mu.Lock()
 	q := m.peers[address]
 	m.mu.Unlock()
 	if q != nil {
-		return q.questions.Call(ctx, method, in, out)
+		return q.callClient.Call(ctx, method, in, out)
 	}
 	client := rpc.NewClient(address)
 	defer client.Close()
 	return client.Call(ctx, method, in, out)
 }
 
-// size is how many processes are known, this one included: what each does of its own
-// accord at the same few others is divided among so many.
+// size returns the number of known processes, including this one. It scales the rate of
+// what every process does on its own at the same few targets.
 func (m *Mesh) size() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.peers) + 1
 }
 
-// chooseLinks decides whom this process greets. The caller holds mu.
+// chooseLinks computes the set of peers that this process greets. The caller holds mu.
 func (m *Mesh) chooseLinks(self Process, now time.Time) {
 	own := self.digest()
-	if !m.options.Self.Entry || !m.relink && own == m.linkedAs && now.Sub(m.linkedAt) < lostAge {
+	if !m.options.Self.Entry || !m.relink && own == m.linkedDigest && now.Sub(m.linkedAt) < lostTimeout {
 		return
 	}
-	m.relink, m.linkedAs, m.linkedAt = false, own, now
+	m.relink, m.linkedDigest, m.linkedAt = false, own, now
 	founded := self.Cluster != ""
 	others := make([]overlay.Node, 0, len(m.peers))
 	for _, q := range m.peers {
@@ -199,12 +202,13 @@
 	}
 	greeted := make(map[string]bool)
 	addresses, hub := overlay.Greet(nodeOf(self, false), others)
-	m.relies = !hub
+	m.spoke = !hub
 	for _, address := range addresses {
 		greeted[address] = true
 	}
 	if !founded {
-		// The seeds' lists must show every process before one of them founds.
+		// Until the log is founded, the seeds' lists must show every process before one
+		// of them founds it.
 		for _, seed := range m.options.Seeds {
 			greeted[seed] = true
 		}
@@ -222,25 +226,25 @@
 	return overlay.Node{Address: p.Address, DataCentre: p.DataCentre, Disk: p.Disk, Member: p.Cluster != "", Lost: lost}
 }
 
-// reached counts the greeted peers that were heard lately, and those that
-// should be.
-func (m *Mesh) reached(now time.Time) (reached, known int) {
+// countReached counts the greeted entries that are reachable, and those that should be.
+func (m *Mesh) countReached(now time.Time) (reached, known int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, q := range m.peers {
-		if !q.linked || q.process.Started == 0 || !q.process.Entry || now.Sub(q.heard) > silentAge {
+		if !q.linked || q.process.Started == 0 || !q.process.Entry || now.Sub(q.lastHeard) > silentRetention {
 			continue
 		}
 		known++
-		if now.Sub(q.heard) < heardAge {
+		if now.Sub(q.lastHeard) < reachableTimeout {
 			reached++
 		}
 	}
 	return reached, known
 }
 
-// Connected reports whether this process reaches half of those it greets.
+// Connected reports whether this process reaches at least half of the entries that it
+// greets.
 func (m *Mesh) Connected() bool {
-	reached, known := m.reached(time.Now())
+	reached, known := m.countReached(time.Now())
 	return 2*reached >= known
 }
--- a/internal/mesh/permits.go
+++ b/internal/mesh/permits.go
@@ -14,17 +14,17 @@
 	"github.com/rosemarypass/rosemarypass/internal/telemetry"
 )
 
-// permits decides which models engines without one load, and bounds the loads
-// from the weight store over all engines: the log's leader grants them, at the
-// store's own rate. A new leader begins with nothing saved up, so that two
-// leaders in a row grant no more than one.
+// permits decides which model an engine without one loads, and limits the loads from the
+// weight store over all engines. The leader of the log grants the loads at the store's
+// rate. A new leader starts with an empty token bucket, so that two successive leaders
+// together grant no more than one would.
 type permits struct {
 	mesh *Mesh
 
 	mu       sync.Mutex
 	leading  bool
 	limiters map[string]*rate.Limiter
-	// granted are the loads that engines do not announce yet.
+	// granted are the loads that engines have not announced yet.
 	granted []grantedLoad
 }
 
@@ -33,17 +33,17 @@
 	until          time.Time
 }
 
-// permitBurst is how many loads may begin at once; the store's page allows
+// permitBurst is how many loads may begin at once; the documentation of the store allows
 // three beyond its rate in any window.
 const permitBurst = 2
 
 func newPermits(m *Mesh) *permits { return &permits{mesh: m} }
 
-// announceMargin is how long after its load an engine may take to announce the
-// model: some heartbeats.
+// announceMargin is how long after its load an engine may take to announce the model: a
+// few heartbeats.
 const announceMargin = 3 * time.Second
 
-func (p *permits) take(_ context.Context, in permitRequest) (permitReply, error) {
+func (p *permits) handle(_ context.Context, in permitRequest) (permitReply, error) {
 	current := p.mesh.documents.Current()
 	if !p.mesh.Self().Leads || !p.mesh.Usable() {
 		p.mu.Lock()
@@ -58,7 +58,7 @@
 	return permitReply{Model: p.choose(service, in.OnDisk, time.Now())}, nil
 }
 
-// choose names the model that an engine may load now, empty for none.
+// choose returns the model that an engine may load now, or "" for none.
 func (p *permits) choose(service *route.Service, onDisk []string, now time.Time) string {
 	model := modelplan.Next(p.models(service, onDisk, now))
 	if model == "" {
@@ -70,13 +70,13 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	loads := service.Engine.Model(model).LoadTime
-	p.granted = append(p.granted, grantedLoad{service: service.Name, model: model, until: now.Add(2*loads + announceMargin)})
+	loadTime := service.Engine.Model(model).LoadTime
+	p.granted = append(p.granted, grantedLoad{service: service.Name, model: model, until: now.Add(2*loadTime + announceMargin)})
 	return model
 }
 
-// models describes a service's models: what was asked for of this entry stands
-// for all, since callers are spread by chance.
+// models describes the models of a service. The demand at this entry stands for that at
+// all entries, since callers are spread randomly.
 func (p *permits) models(service *route.Service, onDisk []string, now time.Time) []modelplan.Model {
 	holders := make(map[string]int)
 	for _, e := range p.mesh.Serving() {
@@ -126,47 +126,47 @@
 
 const (
 	permitTimeout = 400 * time.Millisecond
-	// withoutLeader is how long an agent waits for a leader before it loads
-	// without a permit: an engine without a model serves nobody, and without a
-	// leader few others start.
-	withoutLeader = 4 * time.Second
+	// leaderlessDelay is how long an agent waits for a leader before it loads without a
+	// permit: an engine without a model serves no requests, and few other engines start
+	// while there is no leader.
+	leaderlessDelay = 4 * time.Second
 )
 
-// Permit asks the log's leader which model an engine that holds none may load
-// now; empty when it must ask again. onDisk are those of which it keeps a copy,
-// since is when the asking began.
-func (m *Mesh) Permit(ctx context.Context, service string, onDisk []string, since time.Time) string {
+// Permit asks the leader of the log which model an engine that holds none may load now.
+// It returns "" when the engine must ask again. onDisk lists the models of which the
+// engine keeps a copy; start is when it first asked.
+func (m *Mesh) Permit(ctx context.Context, service string, onDisk []string, start time.Time) string {
 	leader := m.leader()
 	if leader == "" {
-		return m.withoutPermit(service, onDisk, since)
+		return m.fallbackModel(service, onDisk, start)
 	}
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
 	var reply permitReply
-	if err := m.ask(ctx, leader, methodPermit, permitRequest{Service: service, OnDisk: onDisk}, &reply); err != nil {
+	if err := m.call(ctx, leader, methodPermit, permitRequest{Service: service, OnDisk: onDisk}, &reply); err != nil {
 		m.log.Warn("no permit could be asked for", zap.String("leader", leader), telemetry.Cause(err))
-		return m.withoutPermit(service, onDisk, since)
+		return m.fallbackModel(service, onDisk, start)
 	}
 	return reply.Model
 }
 
-// withoutPermit names a model when no leader has been there for long: rather one
-// of which the engine keeps a copy.
-func (m *Mesh) withoutPermit(service string, onDisk []string, since time.Time) string {
+// fallbackModel returns a model when there has been no leader for leaderlessDelay,
+// preferably one of which the engine keeps a copy.
+func (m *Mesh) fallbackModel(service string, onDisk []string, start time.Time) string {
 	table := m.documents.Current().Table
-	if table == nil || time.Since(since) <= withoutLeader {
+	if table == nil || time.Since(start) <= leaderlessDelay {
 		return ""
 	}
-	found := table.Service(service)
-	if found == nil || found.Engine == nil || len(found.Engine.Models) == 0 {
+	svc := table.Service(service)
+	if svc == nil || svc.Engine == nil || len(svc.Engine.Models) == 0 {
 		return ""
 	}
-	for _, model := range found.Engine.Models {
+	for _, model := range svc.Engine.Models {
 		if slices.Contains(onDisk, model.Name) {
 			return model.Name
 		}
 	}
-	return found.Engine.Models[0].Name
+	return svc.Engine.Models[0].Name
 }
 
 // NoteDemand counts a request for a model.
@@ -176,21 +176,21 @@
 	m.demand.Note(model, time.Now())
 }
 
-func (m *Mesh) demandShare(model string, among []string, now time.Time) float64 {
+func (m *Mesh) demandShare(model string, models []string, now time.Time) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.demand.Share(model, among, now)
+	return m.demand.Share(model, models, now)
 }
 
-// leader is the address of the log's leader, as far as is known: of two that
-// were told to lead the one that was heard of last.
+// leader returns the address of the leader of the log as far as is known. If two peers
+// are reported as leader, the one heard most recently is returned.
 func (m *Mesh) leader() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	leader, word := "", time.Time{}
+	leader, lastHeard := "", time.Time{}
 	for address, q := range m.peers {
-		if q.process.Leads && q.word.After(word) {
-			leader, word = address, q.word
+		if q.process.Leads && q.lastHeardAny.After(lastHeard) {
+			leader, lastHeard = address, q.lastHeardAny
 		}
 	}
 	return leader
--- a/internal/mesh/propose.go
+++ b/internal/mesh/propose.go
@@ -11,29 +11,29 @@
 	"github.com/rosemarypass/rosemarypass/coord/document"
 )
 
-// ErrUnsure means that the log could not be asked in time: whether a change was
-// accepted, or which configuration is the newest, is not known.
-var ErrUnsure = errors.New("the replicated log could not confirm it in time")
+// ErrUnconfirmed means that the log did not answer in time: whether a change was
+// accepted, or which configuration is the newest, is unknown.
+var ErrUnconfirmed = errors.New("the replicated log could not confirm it in time")
 
-// forwardTimeout bounds one try at one member of the log, so that another one
-// can still be asked within an operator's second.
+// forwardTimeout bounds one attempt at one member of the log, so that another member can
+// still be asked within one second, the time that an operator waits.
 const forwardTimeout = 450 * time.Millisecond
 
-// Propose commits a command. It returns nil only when it is durable and in
+// Propose commits a command. It returns nil only when the command is durable, and in
 // force here or about to be.
 func (m *Mesh) Propose(ctx context.Context, command document.Command) error {
 	data, err := json.Marshal(command)
 	if err != nil {
 		return errors.Wrap(err, "encode a command")
 	}
-	if m.host != nil && m.host.takesPart() {
-		if fate := m.host.propose(ctx, data); fate.Committed {
+	if m.host != nil && m.host.isMember() {
+		if result := m.host.propose(ctx, data); result.Committed {
 			return nil
 		}
-		return ErrUnsure
+		return ErrUnconfirmed
 	}
 	for _, address := range m.members() {
-		var reply fate
+		var reply proposalResult
 		if err := m.forward(ctx, address, methodPropose, proposal{Command: data}, &reply); err == nil && reply.Committed {
 			return nil
 		}
@@ -41,21 +41,21 @@
 			break
 		}
 	}
-	return ErrUnsure
+	return ErrUnconfirmed
 }
 
-// Read returns a state that includes every change that was acknowledged before
-// the call, or ErrUnsure.
+// Read returns a state that includes every change that was acknowledged before the call,
+// or ErrUnconfirmed.
 func (m *Mesh) Read(ctx context.Context) (document.State, error) {
-	if m.host != nil && m.host.takesPart() {
+	if m.host != nil && m.host.isMember() {
 		return m.host.read(ctx)
 	}
 	for _, address := range m.members() {
 		var reply pullReply
-		err := m.forward(ctx, address, methodRead, m.request(), &reply)
+		err := m.forward(ctx, address, methodRead, m.newPullRequest(), &reply)
 		if err == nil {
 			if reply.Newer {
-				m.takePulled(reply.State, originRead+address)
+				m.applyPulled(reply.State, originRead+address)
 			}
 			return m.documents.Current().State, nil
 		}
@@ -63,27 +63,27 @@
 			break
 		}
 	}
-	return document.State{}, ErrUnsure
+	return document.State{}, ErrUnconfirmed
 }
 
 func (m *Mesh) forward(ctx context.Context, address, method string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	return m.ask(ctx, address, method, in, out)
+	return m.call(ctx, address, method, in, out)
 }
 
-// members lists the processes with a log, those heard of lately first.
+// members lists the processes with a log, recently heard ones first.
 func (m *Mesh) members() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var near []*peer
+	var peers []*peer
 	for _, q := range m.peers {
 		if q.process.Disk && q.process.Cluster != "" {
-			near = append(near, q)
+			peers = append(peers, q)
 		}
 	}
-	slices.SortFunc(near, func(a, b *peer) int {
-		if d := b.heard.Compare(a.heard); a.process.DataCentre == b.process.DataCentre || time.Since(a.heard) > heardAge || time.Since(b.heard) > heardAge {
+	slices.SortFunc(peers, func(a, b *peer) int {
+		if d := b.lastHeard.Compare(a.lastHeard); a.process.DataCentre == b.process.DataCentre || time.Since(a.lastHeard) > reachableTimeout || time.Since(b.lastHeard) > reachableTimeout {
 			return d
 		}
 		if a.process.DataCentre == m.options.Self.DataCentre {
@@ -94,52 +94,52 @@
 		}
 		return 0
 	})
-	addresses := make([]string, 0, len(near))
-	for _, q := range near {
+	addresses := make([]string, 0, len(peers))
+	for _, q := range peers {
 		addresses = append(addresses, q.process.Address)
 	}
 	return addresses
 }
 
-func (h *logHost) propose(ctx context.Context, data []byte) fate {
+func (h *logHost) propose(ctx context.Context, data []byte) proposalResult {
 	r := h.current.Load()
 	if r == nil {
-		return fate{Message: "the log is not open"}
+		return proposalResult{Message: "the log is not open"}
 	}
 	index, _, err := r.Propose(ctx, data)
 	if err != nil {
-		return fate{Message: err.Error()}
+		return proposalResult{Message: err.Error()}
 	}
-	h.awaitSpread(ctx, index)
-	return fate{Committed: true}
+	h.awaitQuorum(ctx, index)
+	return proposalResult{Committed: true}
 }
 
-// spreadWait is how long an acknowledgement waits for a majority to know of it.
-const spreadWait = 200 * time.Millisecond
-
-// awaitSpread returns once a majority of the voters has on its disk that an entry
-// is committed, or after a while: the entry itself is durable. If everything then
-// stops, and the leader is lost, what is left proves its state without electing
-// another one first.
-func (h *logHost) awaitSpread(ctx context.Context, index uint64) {
-	limit := h.spreadWait
-	if due, ok := ctx.Deadline(); ok {
-		// Half of what is left is the answer's.
-		limit = min(limit, time.Until(due)/2)
+// quorumWait is how long an acknowledgement waits for a majority to know of the commit.
+const quorumWait = 200 * time.Millisecond
+
+// awaitQuorum returns once a majority of the voters has recorded on disk that an entry is
+// committed, or after a timeout: the entry itself is already durable. If all processes
+// then stop and the leader is lost, the remaining ones can prove their state without
+// electing a new leader first.
+func (h *logHost) awaitQuorum(ctx context.Context, index uint64) {
+	timeout := h.quorumWait
+	if deadline, ok := ctx.Deadline(); ok {
+		// Leave half of the remaining time for the answer.
+		timeout = min(timeout, time.Until(deadline)/2)
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	standings := h.askVoters(ctx)
-	known := make(map[string]bool)
+	standings := h.pollVoters(ctx)
+	applied := make(map[string]bool)
 	for {
-		own, err := h.takeStanding(ctx, standingRequest{})
+		own, err := h.handleStanding(ctx, standingRequest{})
 		if err != nil {
 			return
 		}
-		known[h.mesh.options.Self.Address] = own.Voter && own.Applied >= index
+		applied[h.mesh.options.Self.Address] = own.Voter && own.Applied >= index
 		count := 0
 		for _, voter := range own.Voters {
-			if known[voter] {
+			if applied[voter] {
 				count++
 			}
 		}
@@ -148,33 +148,32 @@
 		}
 		select {
 		case answer := <-standings:
-			known[answer.Address] = answer.Voter && answer.Applied >= index
+			applied[answer.Address] = answer.Voter && answer.Applied >= index
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (h *logHost) takeProposal(ctx context.Context, in proposal) (fate, error) {
+func (h *logHost) handlePropose(ctx context.Context, in proposal) (proposalResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	return h.propose(ctx, in.Command), nil
 }
 
-// read waits until everything that was committed before the call is applied
-// here.
+// read waits until everything that was committed before the call is applied here.
 func (h *logHost) read(ctx context.Context) (document.State, error) {
 	r := h.current.Load()
 	if r == nil {
-		return document.State{}, ErrUnsure
+		return document.State{}, ErrUnconfirmed
 	}
 	if _, err := r.ReadIndex(ctx); err != nil {
-		return document.State{}, errors.Wrap(ErrUnsure, err.Error())
+		return document.State{}, errors.Wrap(ErrUnconfirmed, err.Error())
 	}
 	return h.mesh.documents.Current().State, nil
 }
 
-func (h *logHost) takeRead(ctx context.Context, in pullRequest) (pullReply, error) {
+func (h *logHost) handleRead(ctx context.Context, in pullRequest) (pullReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	state, err := h.read(ctx)
@@ -184,7 +183,8 @@
 	return answerState(in, state), nil
 }
 
-// answerState is the state without the body that the asking one has.
+// answerState builds a reply from the state, without the body if the requester already
+// has it.
 func answerState(in pullRequest, state document.State) pullReply {
 	reply := pullReply{Newer: state.Index > in.Index, State: state}
 	if in.Holds && state.Version == in.Version {
--- a/internal/mesh/prover.go
+++ b/internal/mesh/prover.go
@@ -9,25 +9,26 @@
 	"github.com/rosemarypass/rosemarypass/internal/wait"
 )
 
-// prover looks for proofs, one round for all whose question came before it. What
-// callers ask for does not raise the number of rounds beyond one a pause.
+// prover runs rounds that seek a proof of freshness; one round serves all callers that
+// arrived before it began. The number of callers does not raise the rate beyond one round
+// per interval.
 type prover struct {
 	round func() bool
-	// pause is that between the beginnings of two rounds, the first one without a
-	// proof having been so long ago.
-	pause func(trouble time.Duration) time.Duration
+	// interval returns the time between the starts of two rounds, given how long rounds
+	// have been failing.
+	interval func(failingFor time.Duration) time.Duration
 
 	mu      sync.Mutex
 	running bool
-	waiting []chan<- bool
+	waiters []chan<- bool
 }
 
-// prove reports whether a round that began after the call found a proof. It is
-// false when ctx ends before.
+// prove reports whether a round that began after the call found a proof. It returns false
+// when ctx ends first.
 func (p *prover) prove(ctx context.Context) bool {
 	answer := make(chan bool, 1)
 	p.mu.Lock()
-	p.waiting = append(p.waiting, answer)
+	p.waiters = append(p.waiters, answer)
 	if !p.running {
 		p.running = true
 		go p.run()
@@ -41,29 +42,29 @@
 	}
 }
 
-// run plays rounds until nobody waits for one.
+// run runs rounds until no caller is waiting.
 func (p *prover) run() {
-	var trouble backoff.Trouble
+	var failures backoff.Trouble
 	for {
 		p.mu.Lock()
-		asking := p.waiting
-		p.waiting = nil
-		p.running = len(asking) > 0
+		waiters := p.waiters
+		p.waiters = nil
+		p.running = len(waiters) > 0
 		p.mu.Unlock()
-		if len(asking) == 0 {
+		if len(waiters) == 0 {
 			return
 		}
-		began := time.Now()
+		start := time.Now()
 		proven := p.round()
-		for _, answer := range asking {
+		for _, answer := range waiters {
 			answer <- proven
 		}
-		lasts := time.Duration(0)
+		failingFor := time.Duration(0)
 		if proven {
-			trouble.Over()
+			failures.Over()
 		} else {
-			lasts = trouble.Failed(began)
+			failingFor = failures.Failed(start)
 		}
-		_ = wait.For(context.Background(), p.pause(lasts)-time.Since(began))
+		_ = wait.For(context.Background(), p.interval(failingFor)-time.Since(start))
 	}
 }
--- a/internal/mesh/restart_test.go
+++ b/internal/mesh/restart_test.go
@@ -14,9 +14,9 @@
 	"github.com/rosemarypass/rosemarypass/coord/roster"
 )
 
-// All processes stop at once and one comes back before the others. Its callers must not be routed by an older
-// configuration than it had in force, nor wait for a leader to be routed at all.
-func TestARestartedEntryGoesOnWithTheConfigurationItHad(t *testing.T) {
+// All processes stop at once and one restarts before the others. It must not route requests by an older configuration
+// than the one it had in force, nor wait for a leader before it routes them.
+func TestRestartedEntryKeepsConfig(t *testing.T) {
 	const last = snapshotEntries + 12
 	f := startFleet(t, 3, 0)
 	eventually(t, func() bool { return f.voters(0) == 3 })
@@ -39,9 +39,10 @@
 	}
 }
 
-// An entry restarts, and the servers announce themselves again only some tenths of a second later. It must know
-// them at once, or each caller until then is refused; a server that ended meanwhile must not stay for long.
-func TestARestartedEntryRecallsItsServers(t *testing.T) {
+// An entry restarts, and the servers announce themselves again only a few tenths of a second later. The entry must know
+// them immediately, or it refuses every request until then. A server that ended meanwhile must not stay listed for
+// long.
+func TestRestartedEntryKeepsServers(t *testing.T) {
 	f := startFleet(t, 1, 0)
 	serving := roster.Server{ID: "s", Born: 1, Sequence: 4, Service: "x", Address: "a:1", Models: []string{"m"}}
 	left := roster.Server{ID: "gone", Born: 1, Sequence: 2, Service: "x", Address: "a:2"}
@@ -76,8 +77,8 @@
 	}
 }
 
-// A loss of power leaves a part of the file of servers. The entry must start all the same.
-func TestATornListOfServersIsPassedOver(t *testing.T) {
+// A power loss leaves the servers file truncated. The entry must start nevertheless.
+func TestTruncatedServersFileIsIgnored(t *testing.T) {
 	f := newFleet(t, 1, 0)
 	if err := os.MkdirAll(f.folders[0], 0o700); err != nil {
 		t.Fatal(err)
@@ -92,15 +93,15 @@
 	f.put(0, 1)
 }
 
-// An entry with a disk has a configuration from another one before its own log knows that it is committed.
-func TestAPulledConfigurationIsOnTheDiskBeforeItIsInForce(t *testing.T) {
+// An entry with a disk pulls a configuration from another entry before its own log knows that it is committed.
+func TestPulledConfigIsPersistedBeforeUse(t *testing.T) {
 	f := startFleet(t, 2, 0)
 	eventually(t, func() bool { return f.voters(0) == 2 })
 	f.put(0, 7)
 	f.stop(1)
 	newer := f.nodes[0].Documents().Current().State
 	newer.Index, newer.Version, newer.Body = newer.Index+10, 9, []byte(`{"Version":9}`)
-	f.nodes[0].takePulled(newer, "test")
+	f.nodes[0].applyPulled(newer, "test")
 	f.stop(0)
 	f.start(0, false)
 	eventually(t, func() bool { return f.nodes[0].Documents().Current().Table != nil })
@@ -109,37 +110,37 @@
 	}
 }
 
-// Two pulls end at once, the older one last: it must not take the newer one's place on the disk.
-func TestTheDiskKeepsTheNewerOfTwoPulls(t *testing.T) {
-	k := newKeeper(t.TempDir(), zap.NewNop())
-	k.patience = time.Minute
+// Two pulls end at the same time, the older one last: it must not overwrite the newer one on the disk.
+func TestOlderPullDoesNotOverwriteNewer(t *testing.T) {
+	w := newConfigWriter(t.TempDir(), zap.NewNop())
+	w.timeout = time.Minute
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go k.run(ctx)
-	k.keep(document.State{Index: 9, Version: 9})
-	k.keep(document.State{Index: 7, Version: 7})
-	if got := k.recall().Version; got != 9 {
+	go w.run(ctx)
+	w.persist(document.State{Index: 9, Version: 9})
+	w.persist(document.State{Index: 7, Version: 7})
+	if got := w.load().Version; got != 9 {
 		t.Errorf("version %d is on the disk, 9 was in force", got)
 	}
 }
 
-// A disk that hangs must not keep a newer configuration from callers.
-func TestAHangingDiskHoldsNoConfigurationBack(t *testing.T) {
+// A hung disk must not withhold a newer configuration from callers.
+func TestHungDiskDoesNotBlockConfig(t *testing.T) {
 	f := newFleet(t, 1, 0)
 	m := New(Options{Self: Process{Address: f.addresses[0], Entry: true, Disk: true}, Folder: f.folders[0]}, NewDocuments(decode, zap.NewNop()), zap.NewNop())
-	// Nobody runs the keeper, as if its first write never returned.
-	m.keeper.patience = time.Millisecond
+	// The configWriter is not running, as if its first write never returned.
+	m.configWriter.timeout = time.Millisecond
 	for version := uint64(1); version <= 3; version++ {
-		m.takePulled(document.State{Index: version, Version: version, Body: []byte(`{}`)}, "test")
+		m.applyPulled(document.State{Index: version, Version: version, Body: []byte(`{}`)}, "test")
 	}
 	if got := m.Documents().Current().State.Version; got != 3 {
 		t.Errorf("version %d is in force", got)
 	}
 }
 
-// Processes restart together and ask each other for the configuration. One that asks another that has none either
+// Processes restart together and ask each other for the configuration. A process that asks one without a configuration
 // must go on to the next, and not wait there while a third one has it on its disk.
-func TestARestartedProcessFindsTheConfigurationWithoutALeader(t *testing.T) {
+func TestRestartFindsConfigWithoutLeader(t *testing.T) {
 	f := startFleet(t, 2, 2)
 	eventually(t, func() bool { return f.voters(0) == 2 })
 	f.put(0, 7)
@@ -149,7 +150,7 @@
 	for i := range f.nodes {
 		f.stop(i)
 	}
-	// The other disk stays away: no leader can be there.
+	// The other process with a disk stays down: there can be no leader.
 	for _, i := range []int{3, 2, 0} {
 		f.start(i, false)
 	}
