--- a/internal/mesh/config_writer.go
+++ b/internal/mesh/config_writer.go
@@ -66,13 +66,13 @@
 		err = wal.WriteAtomically(wal.OS{}, w.folder, configurationFile, data)
 	}
 	if err != nil {
-		w.log.Warn("the configuration cannot be written to the disk", zap.Uint64("version", state.Version), telemetry.Cause(err))
+		w.log.Warn("failed to write the configuration to disk", zap.Uint64("version", state.Version), telemetry.Cause(err))
 	}
 	return err == nil
 }
 
-// persist returns once the state is on the disk, or after the timeout: the disk may hang
-// for longer than requests should be routed by an older configuration.
+// persist returns once the state is on the disk, or after the timeout, so that a hung disk
+// does not keep requests routed by an older configuration for too long.
 func (w *configWriter) persist(state document.State) {
 	done := make(chan struct{})
 	timer := time.NewTimer(w.timeout)
@@ -97,7 +97,7 @@
 	}
 	var state document.State
 	if err := json.Unmarshal(data, &state); err != nil {
-		w.log.Warn("the configuration on the disk cannot be read", telemetry.Cause(err))
+		w.log.Warn("failed to read the configuration on disk", telemetry.Cause(err))
 		return document.State{}
 	}
 	return state
--- a/internal/mesh/confirm_test.go
+++ b/internal/mesh/confirm_test.go
@@ -39,13 +39,13 @@
 		f.start(i, false)
 		eventually(t, func() bool { return f.nodes[i].Documents().Current().State.Version == 7 })
 		if f.nodes[i].Documents().Current().Usable() {
-			t.Errorf("process %d acts by version 7, 9 was in force", i)
+			t.Errorf("process %d uses version 7 although 9 was in force", i)
 		}
 	}
 	f.start(1, false)
 	for _, i := range []int{0, 1, 3} {
 		if got := f.waitUsable(i); got != 9 {
-			t.Errorf("process %d acts by version %d, 9 was in force", i, got)
+			t.Errorf("process %d uses version %d, want 9", i, got)
 		}
 	}
 }
@@ -87,7 +87,7 @@
 		}
 		for i := range f.nodes {
 			if got := f.waitUsable(i); got != version {
-				t.Errorf("process %d acts by version %d, %d was acknowledged", i, got, version)
+				t.Errorf("process %d uses version %d, want the acknowledged %d", i, got, version)
 			}
 		}
 		for i := range disks {
@@ -128,14 +128,14 @@
 	for _, i := range []int{0, 3} {
 		eventually(t, func() bool { return newest(i) })
 		if got := f.nodes[i].Documents().Current().State.Version; got != 7 {
-			t.Errorf("process %d takes version %d for the newest, 7 was acknowledged", i, got)
+			t.Errorf("process %d reports version %d as the newest, want 7", i, got)
 		}
 	}
 	f.stop(1)
 	f.stop(2)
 	for _, i := range []int{0, 3} {
 		if newest(i) {
-			t.Errorf("process %d takes what it holds for the newest", i)
+			t.Errorf("process %d reports its configuration as the newest without a majority", i)
 		}
 	}
 }
@@ -154,7 +154,7 @@
 			}
 		}
 		if informed < 2 {
-			t.Fatalf("version %d is acknowledged and %d of 3 members know of it", version, informed)
+			t.Fatalf("version %d is acknowledged but only %d of 3 members know of it", version, informed)
 		}
 	}
 }
@@ -183,13 +183,13 @@
 		return reply.Model
 	}
 	p := newPermits(leader.Mesh)
-	leader.Documents().Doubt()
+	leader.Documents().Unconfirm()
 	if model := request(p); model != "" {
-		t.Errorf("a leader without a proof has granted the load of %q", model)
+		t.Errorf("an unconfirmed leader granted the load of %q", model)
 	}
 	leader.Documents().Confirm()
 	// Another process may have become the leader.
 	if model := request(p); leader.Self().Leads && model != "m" {
-		t.Errorf("a leader with a proof has granted %q", model)
+		t.Errorf("a confirmed leader granted %q, want m", model)
 	}
 }
--- a/internal/mesh/documents.go
+++ b/internal/mesh/documents.go
@@ -84,7 +84,7 @@
 		if err != nil {
 			// The configuration was validated before it was accepted, so another program
 			// version wrote it. The previous one stays in force.
-			d.log.Error("the accepted configuration cannot be read", zap.Uint64("version", state.Version), telemetry.Cause(err))
+			d.log.Error("failed to decode the accepted configuration", zap.Uint64("version", state.Version), telemetry.Cause(err))
 			return
 		}
 		next.Table = route.NewTable(parsed)
@@ -105,8 +105,8 @@
 // this process started or resumed from a pause.
 func (d *Documents) Confirm() { d.setConfirmed(true) }
 
-// Doubt marks the held state as possibly missing acknowledged changes.
-func (d *Documents) Doubt() { d.setConfirmed(false) }
+// Unconfirm marks the held state as possibly missing acknowledged changes.
+func (d *Documents) Unconfirm() { d.setConfirmed(false) }
 
 func (d *Documents) setConfirmed(confirmed bool) {
 	d.mu.Lock()
--- a/internal/mesh/follow_test.go
+++ b/internal/mesh/follow_test.go
@@ -55,6 +55,6 @@
 	}
 	m.followEntry(t.Context(), source, func() bool { return true })
 	if next := m.pickSource(); next != f.addresses[0] {
-		t.Errorf("it follows %s next, %s has what it lacks", next, f.addresses[0])
+		t.Errorf("the next source is %s, want %s", next, f.addresses[0])
 	}
 }
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -40,7 +40,7 @@
 		clusters[cluster] = true
 	}
 	if len(clusters) != 1 {
-		t.Errorf("there are the logs %v", clusters)
+		t.Errorf("logs = %v, want one", clusters)
 	}
 }
 
@@ -82,7 +82,7 @@
 		clusters[cluster] = true
 	}
 	if len(clusters) != 1 {
-		t.Errorf("the processes belong to %d logs", len(clusters))
+		t.Errorf("the processes belong to %d logs, want 1", len(clusters))
 	}
 }
 
@@ -106,7 +106,7 @@
 			return r != nil && r.Status().Config.Voter(r.ID()) && len(r.Status().Config.Members()) == 4
 		})
 		if after, _, _ := f.nodes[i].host.identity(); after == before {
-			t.Errorf("process %d came back as the member it was", i)
+			t.Errorf("process %d rejoined as the same member after losing its disk", i)
 		}
 	}
 	for i := range f.nodes {
@@ -126,7 +126,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	if state, err := f.nodes[0].Read(ctx); err == nil {
-		t.Errorf("it reads version %d", state.Version)
+		t.Errorf("read without a majority returned version %d", state.Version)
 	}
 }
 
@@ -153,7 +153,7 @@
 	}
 	for i := range f.nodes {
 		if f.nodes[i].MayServe("s") {
-			t.Errorf("process %d still serves it", i)
+			t.Errorf("process %d still routes to a server that has left", i)
 		}
 	}
 }
@@ -241,11 +241,11 @@
 	m.ctx = t.Context()
 	now := time.Now()
 	for address, silent := range map[string]time.Duration{"b": 3 * forgetTimeout, "c": 3*forgetTimeout + time.Second, "d": 5 * forgetTimeout} {
-		m.peers[address] = &peer{mesh: m, lastHeardAny: now.Add(-silent), kick: make(chan struct{}, 1)}
+		m.peers[address] = &peer{mesh: m, lastHeardAny: now.Add(-silent), wakeup: make(chan struct{}, 1)}
 	}
 	m.forgetSilent()
 	if m.peers["b"] == nil || m.peers["c"] == nil || m.peers["d"] != nil {
-		t.Errorf("it remembers %v, want those that were heard of last, and not the one that was gone before", m.peers)
+		t.Errorf("peers = %v, want b and c without d", m.peers)
 	}
 }
 
@@ -262,7 +262,7 @@
 	eventually(t, func() bool { return !f.nodes[0].Connected() })
 	server := roster.Server{ID: "s", Born: 1, Sequence: 1, Service: "x", Address: "a:1", Leaving: true}
 	if err := f.nodes[0].Announce(context.Background(), server); err == nil {
-		t.Error("it acknowledged")
+		t.Error("a partitioned entry acknowledged an announcement")
 	}
 }
 
@@ -271,12 +271,12 @@
 	d.Take(document.State{Index: 5, Version: 2, Body: []byte(`{"Version":2}`)}, "test")
 	d.Take(document.State{Index: 4, Version: 1, Body: []byte(`{"Version":1}`)}, "test")
 	if got := d.Current(); got.State.Version != 2 || got.Table.Version() != 2 {
-		t.Errorf("in force is version %d", got.State.Version)
+		t.Errorf("configuration version in force = %d, want 2", got.State.Version)
 	}
 	// A newer state of the same version comes without its body.
 	d.Take(document.State{Index: 6, Version: 2, Adapters: map[string]int64{"m/a": 3}}, "test")
 	if got := d.Current(); got.State.Adapters["m/a"] != 3 || got.Table.Version() != 2 || got.State.Body == nil {
-		t.Errorf("in force is %+v", got.State)
+		t.Errorf("configuration in force = %+v", got.State)
 	}
 }
 
@@ -317,7 +317,7 @@
 		}
 	}
 	if granted < 17 || granted > 20 {
-		t.Errorf("%d loads were granted in 10 s at 2 a second", granted)
+		t.Errorf("%d loads were granted in 10 s at 2 per second, want 17 to 20", granted)
 	}
 }
 
@@ -336,22 +336,22 @@
 	p.leading, p.limiters = true, make(map[string]*rate.Limiter)
 	now := time.Unix(1000, 0)
 	if got := p.choose(service, nil, now); got != "" {
-		t.Errorf("a new leader grants %q at once, the one before may have just done so", got)
+		t.Errorf("a new leader granted %q immediately; the previous one may have just used the burst", got)
 	}
 	loads := make(map[string]int)
 	for i := range 8 {
 		loads[p.choose(service, nil, now.Add(time.Duration(i+1)*500*time.Millisecond))]++
 	}
 	if loads["busy"] != 6 || loads["rare"] != 2 {
-		t.Errorf("the loads are %v, want 6 of the busy model and 2 of the rare one", loads)
+		t.Errorf("loads = %v, want 6 of the busy model and 2 of the rare one", loads)
 	}
 	later := now.Add(4 * time.Second)
 	if got := p.choose(service, []string{"busy", "rare"}, later); got == "" {
-		t.Error("an engine that keeps copies had to wait for the store")
+		t.Error("an engine with local copies had to wait for the store")
 	}
 	first, second := p.choose(service, nil, later), p.choose(service, nil, later)
 	if third := p.choose(service, nil, later); first != "" && second != "" && third != "" {
-		t.Error("the store got three loads at once at 2 a second")
+		t.Error("the store got three loads at once at 2 per second")
 	}
 }
 
--- a/internal/mesh/overload_test.go
+++ b/internal/mesh/overload_test.go
@@ -34,9 +34,9 @@
 	tries := func(processes int) (early, late int) {
 		synctest.Test(t, func(t *testing.T) {
 			m := meshWithPeers(processes - 1)
-			began := time.Now()
+			start := time.Now()
 			m.prover.round = func() bool {
-				if time.Since(began) < 30*time.Second {
+				if time.Since(start) < 30*time.Second {
 					early++
 				} else {
 					late++
@@ -50,13 +50,13 @@
 		})
 		return early, late
 	}
-	fewEarly, fewLate := tries(8)
-	manyEarly, manyLate := tries(400)
-	if fewEarly < 10 || 2*fewLate > fewEarly {
-		t.Errorf("one of 8 tried %d times in half a minute and then %d times", fewEarly, fewLate)
+	smallEarly, smallLate := tries(8)
+	largeEarly, largeLate := tries(400)
+	if smallEarly < 10 || 2*smallLate > smallEarly {
+		t.Errorf("one of 8 processes tried %d times in the first 30 s and %d times in the next", smallEarly, smallLate)
 	}
-	if most := int(30 * proofBackoff.Rate); 400*manyEarly > 2*most || 400*manyLate > 2*most || manyEarly >= fewEarly {
-		t.Errorf("one of 400 tried %d times in half a minute and then %d times; all together may %d times", manyEarly, manyLate, most)
+	if most := int(30 * proofBackoff.Rate); 400*largeEarly > 2*most || 400*largeLate > 2*most || largeEarly >= smallEarly {
+		t.Errorf("one of 400 processes tried %d times in the first 30 s and %d times in the next; limit for all together: %d per 30 s", largeEarly, largeLate, most)
 	}
 }
 
@@ -79,11 +79,11 @@
 	t.Cleanup(m.closePeers)
 	for range 20 {
 		if m.requestProof(t.Context()) {
-			t.Fatal("a member that found no proof has given one")
+			t.Fatal("requestProof succeeded at a member that found no proof")
 		}
 	}
 	if got := listener.accepted.Load(); got != 1 {
-		t.Errorf("20 questions opened %d connections", got)
+		t.Errorf("20 requests opened %d connections, want 1", got)
 	}
 }
 
@@ -105,25 +105,25 @@
 // A process is too busy to handle greetings in time. Greetings whose senders have given up must not queue up.
 func TestConcurrentGreetingIsRejected(t *testing.T) {
 	m := meshWithPeers(3)
-	again := greeting{From: Process{Address: "p0:1", Entry: true, Started: 1}}
+	in := greeting{From: Process{Address: "p0:1", Entry: true, Started: 1}}
 	m.mu.Lock()
 	first := make(chan error, 1)
 	go func() {
-		_, err := m.handleSync(t.Context(), again)
+		_, err := m.handleSync(t.Context(), in)
 		first <- err
 	}()
 	eventually(t, func() bool {
-		_, busy := m.syncing.Load(again.From.Address)
+		_, busy := m.syncing.Load(in.From.Address)
 		return busy
 	})
-	if _, err := m.handleSync(t.Context(), again); !errors.Is(err, errGreetingInProgress) {
-		t.Errorf("a second greeting ended with %v while the first one waited", err)
+	if _, err := m.handleSync(t.Context(), in); !errors.Is(err, errGreetingInProgress) {
+		t.Errorf("concurrent greeting returned %v, want errGreetingInProgress", err)
 	}
 	m.mu.Unlock()
 	if err := <-first; err != nil {
 		t.Error(err)
 	}
-	if _, err := m.handleSync(t.Context(), again); err != nil {
+	if _, err := m.handleSync(t.Context(), in); err != nil {
 		t.Error(err)
 	}
 }
@@ -137,10 +137,10 @@
 		m := meshWithPeers(others)
 		from := Process{Address: "p0:1", Entry: true, Started: 1}
 		var cursor listCursor
-		sent, changes := 0, 0
-		for began := time.Now(); time.Since(began) < duration; time.Sleep(syncInterval) {
-			changes++
-			restarted := Process{Name: "p9", Address: "p9:1", Entry: true, Started: int64(1 + changes)}
+		sent, restarts := 0, 0
+		for start := time.Now(); time.Since(start) < duration; time.Sleep(syncInterval) {
+			restarts++
+			restarted := Process{Name: "p9", Address: "p9:1", Entry: true, Started: int64(1 + restarts)}
 			m.updateDirect(restarted, time.Now())
 			reply, err := m.handleSync(t.Context(), greeting{From: from, Digest: 1, Cursor: cursor})
 			if err != nil {
@@ -151,13 +151,13 @@
 				found = found || p.Address == restarted.Address && p.Started == restarted.Started
 			}
 			if !found {
-				t.Fatalf("the restart %d is not told", changes)
+				t.Fatalf("restart %d is missing from the reply", restarts)
 			}
 			sent, cursor = sent+len(reply.Known), reply.Cursor
 		}
-		whole := int(duration/(others*fullListInterval)) + 1
-		if most := whole*(others+2) + 3*changes; sent > most {
-			t.Errorf("%d descriptions were told with %d greetings, %d is the most", sent, changes, most)
+		fullLists := int(duration/(others*fullListInterval)) + 1
+		if most := fullLists*(others+2) + 3*restarts; sent > most {
+			t.Errorf("%d process descriptions were sent in %d greetings, want at most %d", sent, restarts, most)
 		}
 	})
 }
@@ -167,12 +167,12 @@
 	m := meshWithPeers(5)
 	all, cursor := m.knownSince(listCursor{})
 	if len(all) != 6 {
-		t.Fatalf("%d processes are told, 6 are known", len(all))
+		t.Fatalf("%d processes are listed without a cursor, want 6", len(all))
 	}
 	if again, _ := m.knownSince(cursor); len(again) != 1 {
-		t.Errorf("%d processes are told again", len(again))
+		t.Errorf("%d processes are listed after the cursor, want 1", len(again))
 	}
 	if other, _ := m.knownSince(listCursor{Incarnation: cursor.Incarnation + 1, Change: cursor.Change}); len(other) != 6 {
-		t.Errorf("%d processes are told to one who heard another incarnation, 6 are known", len(other))
+		t.Errorf("%d processes are listed for another incarnation's cursor, want 6", len(other))
 	}
 }
--- a/internal/mesh/pause.go
+++ b/internal/mesh/pause.go
@@ -24,7 +24,7 @@
 func bootTime() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
-		panic("the kernel has no clock of the time since its start: " + err.Error())
+		panic("failed to read CLOCK_BOOTTIME: " + err.Error())
 	}
 	return time.Duration(now.Nano())
 }
@@ -81,7 +81,7 @@
 		}
 		if paused := m.pauses.sinceTick(); paused >= maxPause {
 			m.pauses.detected.Add(1)
-			m.documents.Doubt()
+			m.documents.Unconfirm()
 			m.log.Warn("the process has stood still", zap.Duration("for", paused))
 			m.tasks.Go(func() { m.confirmConfig(ctx) })
 		}
--- a/internal/mesh/pause_test.go
+++ b/internal/mesh/pause_test.go
@@ -21,7 +21,7 @@
 	f.stop(0)
 	offset.Store(int64(maxPause))
 	if f.nodes[1].Usable() {
-		t.Fatal("it acts by what it held before it stood still")
+		t.Fatal("a paused process uses the configuration that it held before the pause")
 	}
 	eventually(t, func() bool { return !f.nodes[1].Documents().Current().Confirmed })
 	f.start(0, false)
--- a/internal/mesh/peer.go
+++ b/internal/mesh/peer.go
@@ -23,7 +23,7 @@
 	// that waits must not delay the next greeting.
 	syncClient *rpc.Client
 	callClient *rpc.Client
-	kick       chan struct{}
+	wakeup     chan struct{}
 	firstSeen  time.Time
 
 	// The fields below are guarded by mesh.mu.
@@ -65,11 +65,11 @@
 type via uint8
 
 const (
-	// viaDirect: from the server itself, or from a peer that depends on this process as
-	// its hub; all peers must be told.
+	// viaDirect means from the server itself, or from a peer that depends on this process
+	// as its hub: all peers must be told.
 	viaDirect via = iota
-	// viaHub: from a hub, which tells the other hubs itself; only spokes of this process
-	// must be told.
+	// viaHub means from a hub, which tells the other hubs itself: only the spokes of this
+	// process must be told.
 	viaHub
 )
 
@@ -95,7 +95,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-q.kick:
+		case <-q.wakeup:
 		case <-timer.C:
 		}
 		updates, action := q.next(time.Now())
@@ -149,7 +149,7 @@
 		return updates, actionGreet
 	}
 	q.acked = updates.change
-	// A spoke must greet its hub to tell it that it depends on it.
+	// A spoke must greet its hub itself, to report that it depends on it.
 	if !q.linked || q.inSync && !m.spoke && now.Sub(q.lastGreeting) < syncInterval && !updates.relist {
 		return pending{}, actionSkip
 	}
@@ -258,7 +258,7 @@
 // wake makes the peer's task check immediately for updates.
 func (q *peer) wake() {
 	select {
-	case q.kick <- struct{}{}:
+	case q.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -361,7 +361,7 @@
 func (m *Mesh) Strike(strike suspicion.Strike) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.log.Warn("a backend server ended while it ran a request", zap.Uint64("fingerprint", strike.Fingerprint), zap.String("server", strike.Server))
+	m.log.Warn("backend server ended while running a request", zap.Uint64("fingerprint", strike.Fingerprint), zap.String("server", strike.Server))
 	m.mergeStrikes(nil, false, []suspicion.Strike{strike}, time.Now())
 }
 
--- a/internal/mesh/peers.go
+++ b/internal/mesh/peers.go
@@ -29,7 +29,7 @@
 		return nil
 	}
 	p.SilentMillis = 0
-	q := &peer{mesh: m, process: p, firstSeen: now, lastHeardAny: now.Add(-silent), kick: make(chan struct{}, 1), syncClient: rpc.NewClient(p.Address), callClient: rpc.NewClient(p.Address)}
+	q := &peer{mesh: m, process: p, firstSeen: now, lastHeardAny: now.Add(-silent), wakeup: make(chan struct{}, 1), syncClient: rpc.NewClient(p.Address), callClient: rpc.NewClient(p.Address)}
 	m.peers[p.Address] = q
 	m.digest += p.digest()
 	m.noteChange(q)
--- a/internal/mesh/permits.go
+++ b/internal/mesh/permits.go
@@ -144,7 +144,7 @@
 	defer cancel()
 	var reply permitReply
 	if err := m.call(ctx, leader, methodPermit, permitRequest{Service: service, OnDisk: onDisk}, &reply); err != nil {
-		m.log.Warn("no permit could be asked for", zap.String("leader", leader), telemetry.Cause(err))
+		m.log.Warn("permit request to the leader failed", zap.String("leader", leader), telemetry.Cause(err))
 		return m.fallbackModel(service, onDisk, start)
 	}
 	return reply.Model
--- a/internal/mesh/restart_test.go
+++ b/internal/mesh/restart_test.go
@@ -33,7 +33,7 @@
 		f.start(i, false)
 		eventually(t, func() bool { return f.nodes[i].Documents().Current().Table != nil })
 		if got := f.nodes[i].Documents().Current().State.Version; got != last {
-			t.Errorf("entry %d is back with version %d, it had %d in force", i, got, last)
+			t.Errorf("entry %d restarted with version %d, want %d", i, got, last)
 		}
 		f.stop(i)
 	}
@@ -62,18 +62,18 @@
 	f.start(0, false)
 	known := f.nodes[0].Serving()
 	if len(known) != 1 || known[0].ID != serving.ID || known[0].Models[0] != "m" {
-		t.Fatalf("it is back with %+v", known)
+		t.Fatalf("servers after the restart = %+v", known)
 	}
 	left.Sequence = 3
 	if err := f.nodes[0].Announce(context.Background(), left); err != nil || f.nodes[0].MayServe(left.ID) {
-		t.Errorf("a late announcement brings a server back that left: %v", err)
+		t.Errorf("a late announcement restored a server that had left: err = %v", err)
 	}
 	if !f.nodes[0].Doubt(serving.ID) || len(f.nodes[0].Serving()) != 0 {
-		t.Error("a server that answered as another one is still listed")
+		t.Error("a doubted server is still listed")
 	}
 	serving.Sequence = 5
 	if err := f.nodes[0].Announce(context.Background(), serving); err != nil || f.nodes[0].Doubt(serving.ID) {
-		t.Errorf("a server that was heard is doubted: %v", err)
+		t.Errorf("Doubt dropped a server that has announced itself: err = %v", err)
 	}
 }
 
@@ -88,7 +88,7 @@
 	}
 	f.start(0, true)
 	if known := f.nodes[0].Serving(); len(known) != 0 {
-		t.Errorf("it knows %+v", known)
+		t.Errorf("servers from a truncated file = %+v, want none", known)
 	}
 	f.put(0, 1)
 }
@@ -106,7 +106,7 @@
 	f.start(0, false)
 	eventually(t, func() bool { return f.nodes[0].Documents().Current().Table != nil })
 	if got := f.nodes[0].Documents().Current().State.Version; got != 9 {
-		t.Errorf("the entry is back with version %d, it had 9 in force", got)
+		t.Errorf("the entry restarted with version %d, want 9", got)
 	}
 }
 
@@ -120,7 +120,7 @@
 	w.persist(document.State{Index: 9, Version: 9})
 	w.persist(document.State{Index: 7, Version: 7})
 	if got := w.load().Version; got != 9 {
-		t.Errorf("version %d is on the disk, 9 was in force", got)
+		t.Errorf("version %d is on disk, want 9", got)
 	}
 }
 
@@ -134,7 +134,7 @@
 		m.applyPulled(document.State{Index: version, Version: version, Body: []byte(`{}`)}, "test")
 	}
 	if got := m.Documents().Current().State.Version; got != 3 {
-		t.Errorf("version %d is in force", got)
+		t.Errorf("version %d is in force, want 3", got)
 	}
 }
 
--- a/internal/mesh/servers_file.go
+++ b/internal/mesh/servers_file.go
@@ -67,7 +67,7 @@
 			continue
 		}
 		if err := m.writeServers(servers); err != nil {
-			m.log.Warn("the servers cannot be written to the disk", telemetry.Cause(err))
+			m.log.Warn("failed to write the servers to disk", telemetry.Cause(err))
 			continue
 		}
 		written = change
