--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// Request is what is sent.
+// Request is a request to send to a server.
 type Request struct {
 	Method string
 	// URI is the request target as the caller wrote it.
@@ -20,21 +20,22 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// ID and IDHeader tell the answer apart: the header that the server
-	// echoes, and its value. Without an ID an answer that bears none counts, and
-	// its connection is not used again; without a header any answer counts.
+	// ID and IDHeader match the response to the request: IDHeader is the header
+	// that the server echoes, ID its value. If ID is empty, a response without the
+	// header is accepted and its connection is not reused; if IDHeader is empty,
+	// any response is accepted.
 	ID       string
 	IDHeader string
 }
 
-// Response is an answer whose body is still to be read. Exactly one of Release
-// and Abort must follow.
+// Response is a response whose body has not been read yet. The caller must call
+// exactly one of Release and Abort.
 type Response struct {
 	Status int
 	Header http.Header
-	// Body ends with io.EOF only when the answer is whole. Where Framed is false
-	// that is the orderly end of the connection, which a server that crashes may
-	// bring about as well.
+	// Body returns io.EOF only when the response is complete. If Framed is false,
+	// that is the orderly close of the connection, which a crash of the server can
+	// cause as well.
 	Body   io.Reader
 	Framed bool
 
@@ -42,12 +43,12 @@
 	target Target
 	conn   *conn
 	stop   func() bool
-	// keep is false when the connection must not be used again.
-	keep  bool
-	whole *wholeReader
+	// reusable is false if the connection must not be used again.
+	reusable bool
+	body     *stickyReader
 }
 
-// NotSentError means that no byte of the request left, and none will.
+// NotSentError reports that no byte of the request was sent and none will be.
 type NotSentError struct{ Cause error }
 
 // Error implements error.
@@ -56,27 +57,28 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
-// Sent reports whether any byte of a call that failed may have arrived.
+// Sent reports whether any byte of a call that failed with err may have reached
+// the server.
 func Sent(err error) bool {
 	var notSent *NotSentError
 	return !errors.As(err, &notSent)
 }
 
-// ErrNotAnAnswer means that the server sent bytes that are no answer to this
-// request.
-var ErrNotAnAnswer = errors.New("the server sent bytes that are no answer")
+// ErrInvalidResponse reports that the server sent bytes that are not a response
+// to this request.
+var ErrInvalidResponse = errors.New("server sent no valid response to the request")
 
-// maxStrays is how many answers to earlier requests are passed over on a
-// connection, maxStrayBytes the largest of them.
+// maxStrays is the number of responses to earlier requests that are skipped on a
+// connection; maxStrayBytes bounds the body of each, in bytes.
 const (
 	maxStrays     = 2
 	maxStrayBytes = 1 << 20
 )
 
-// Call sends a request and reads the answer's header. The call ends with ctx,
-// which closes the connection, so that the server can stop working.
+// Call sends a request and reads the header of the response. When ctx ends, the
+// call ends and its connection is closed, so that the server can stop working.
 func (p *Pool) Call(ctx context.Context, target Target, r *Request) (*Response, error) {
-	c, _, err := p.take(ctx, target, r.ID)
+	c, _, err := p.get(ctx, target, r.ID)
 	if err != nil {
 		return nil, &NotSentError{Cause: err}
 	}
@@ -84,7 +86,7 @@
 		p.put(target, c)
 		return nil, &NotSentError{Cause: ctx.Err()}
 	}
-	c.note(r.ID)
+	c.recordID(r.ID)
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	response, err := exchange(c, r)
 	if err != nil {
@@ -118,19 +120,19 @@
 		if parsed.Header.Get(r.IDHeader) == r.ID {
 			return newResponse(c, r, parsed, strays), nil
 		}
-		// A late second answer to an earlier request stands where ours is due.
+		// This is a late duplicate response to an earlier request.
 		if strays++; strays > maxStrays {
-			return nil, ErrNotAnAnswer
+			return nil, ErrInvalidResponse
 		}
-		if err := passOver(parsed.Body); err != nil {
-			return nil, errors.Wrap(ErrNotAnAnswer, err.Error())
+		if err := discardBody(parsed.Body); err != nil {
+			return nil, errors.Wrap(ErrInvalidResponse, err.Error())
 		}
 	}
 }
 
-// passOver reads a body to its end. What is left of one that is too large would
-// be read as the next answer.
-func passOver(body io.Reader) error {
+// discardBody reads a body to its end. It fails if the body exceeds
+// maxStrayBytes: the unread rest would be parsed as the next response.
+func discardBody(body io.Reader) error {
 	n, err := io.Copy(io.Discard, io.LimitReader(body, maxStrayBytes+1))
 	if err == nil && n > maxStrayBytes {
 		err = ErrTooLarge
@@ -138,42 +140,43 @@
 	return err
 }
 
-func newResponse(c *conn, asked *Request, parsed *http.Response, strays int) *Response {
-	// A late copy of an answer that bears no id could not be told from the next.
-	named := asked.ID != "" || asked.IDHeader == ""
+func newResponse(c *conn, request *Request, parsed *http.Response, strays int) *Response {
+	// A late duplicate of a response without an id cannot be distinguished from the
+	// response to the next request.
+	identifiable := request.ID != "" || request.IDHeader == ""
 	framed := parsed.ContentLength >= 0 || slices.Contains(parsed.TransferEncoding, "chunked")
-	whole := &wholeReader{from: parsed.Body}
+	body := &stickyReader{src: parsed.Body}
 	r := &Response{
-		Status: parsed.StatusCode, Header: parsed.Header, Body: whole, Framed: framed, conn: c, whole: whole,
-		keep: framed && named && !parsed.Close && strays == 0,
+		Status: parsed.StatusCode, Header: parsed.Header, Body: body, Framed: framed, conn: c, body: body,
+		reusable: framed && identifiable && !parsed.Close && strays == 0,
 	}
-	c.noteKeepAlive(parsed.Header.Get("Keep-Alive"), time.Now())
+	c.setExpiry(parsed.Header.Get("Keep-Alive"), time.Now())
 	return r
 }
 
-// wholeReader remembers how the body ended. The connection's reader would say
-// at a second try that a body which broke off is at its end.
-type wholeReader struct {
-	from io.Reader
-	// end is nil until the body has ended, io.EOF when it is whole.
-	end error
+// stickyReader repeats the error that ended the body. After an error, the
+// connection's reader would return io.EOF for a truncated body on the next read.
+type stickyReader struct {
+	src io.Reader
+	// err is nil until the body has ended, and io.EOF if it is complete.
+	err error
 }
 
 // Read implements io.Reader.
-func (w *wholeReader) Read(p []byte) (int, error) {
-	if w.end != nil {
-		return 0, w.end
+func (s *stickyReader) Read(p []byte) (int, error) {
+	if s.err != nil {
+		return 0, s.err
 	}
-	n, err := w.from.Read(p)
-	w.end = err
+	n, err := s.src.Read(p)
+	s.err = err
 	return n, err
 }
 
-// Release gives the connection back when the body was read to its end and
-// nothing stands behind it, and closes it otherwise.
+// Release returns the connection to the pool if the body was read to its end and
+// no further bytes are buffered, and closes it otherwise.
 func (r *Response) Release() {
 	stopped := r.stop()
-	if !stopped || !r.keep || r.whole.end != io.EOF || r.conn.reader.Buffered() > 0 {
+	if !stopped || !r.reusable || r.body.err != io.EOF || r.conn.reader.Buffered() > 0 {
 		_ = r.conn.Close()
 		return
 	}
@@ -186,7 +189,7 @@
 	_ = r.conn.Close()
 }
 
-// encode writes the request in one piece.
+// encode returns the serialized request, to be sent in a single write.
 func (r *Request) encode() []byte {
 	var b bytes.Buffer
 	b.Grow(512 + len(r.Body))
@@ -214,11 +217,12 @@
 	return b.Bytes()
 }
 
-// ErrTooLarge means that an answer is larger than its reader holds.
-var ErrTooLarge = errors.New("the answer is too large")
+// ErrTooLarge reports that a response exceeds the size limit of its reader.
+var ErrTooLarge = errors.New("response body exceeds the size limit")
 
-// CallWhole sends a request and reads its whole answer. An answer whose body has
-// more than limit bytes is ErrTooLarge: a part of it would pass for the whole.
+// CallWhole sends a request and reads the complete response. It returns
+// ErrTooLarge if the body has more than limit bytes: a truncated body would be
+// mistaken for a complete one.
 func (p *Pool) CallWhole(ctx context.Context, target Target, r *Request, limit int64) (status int, header http.Header, body []byte, err error) {
 	response, err := p.Call(ctx, target, r)
 	if err != nil {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -1,10 +1,10 @@
 // Package upstream calls backend servers over HTTP/1.1 with full control of the
-// connection. It writes a request exactly once, knows afterwards whether any
-// byte of it can have arrived, tells answers apart by the request's id, and
-// never takes an answer that was cut off for a whole one. net/http's transport
-// replays some requests on its own and takes what stands on the connection for
-// the answer; here either would run a booking twice or hand one caller
-// another's answer.
+// connection. It writes a request exactly once, reports afterwards whether any
+// byte of it may have arrived, matches responses to requests by id, and never
+// treats a truncated response as complete. The transport of net/http replays
+// some requests on its own and accepts whatever bytes are on the connection as
+// the response; here the former could run a booking twice, and the latter could
+// give one caller the response of another.
 package upstream
 
 import (
@@ -23,19 +23,19 @@
 )
 
 const (
-	// readBuffer holds an answer's header and a few events.
-	readBuffer = 4 << 10
-	// keepAliveProbes find a peer that fell silent: three probes, half a second
-	// apart, behind a second without traffic.
+	// readBufferSize, in bytes, is enough for a response header and a few events.
+	readBufferSize = 4 << 10
+	// Keep-alive probes detect an unresponsive peer: three probes, half a second
+	// apart, after a second without traffic.
 	probeIdle     = time.Second
 	probeInterval = 500 * time.Millisecond
 	probeCount    = 3
-	// unacknowledged bounds how long sent bytes may stay unacknowledged.
-	unacknowledged = 2500 * time.Millisecond
-	// expiryMargin is kept from the server's own idle timeout, so that it does
-	// not close the connection while a request is on its way.
+	// userTimeout is the longest time that sent bytes may stay unacknowledged.
+	userTimeout = 2500 * time.Millisecond
+	// expiryMargin is subtracted from the server's idle timeout, so that the server
+	// does not close the connection while a request is in transit.
 	expiryMargin = 700 * time.Millisecond
-	// defaultIdle is how long a connection is kept whose server names no time.
+	// defaultIdle is the idle timeout of connections whose server announces none.
 	defaultIdle = 4 * time.Second
 )
 
@@ -43,55 +43,56 @@
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// expires is when it must not be used any more.
+	// expires is the time from which the connection must not be reused.
 	expires time.Time
-	// carried are the ids of the requests that it carried last.
-	carried [rememberedIDs]string
-	calls   int
+	// recentIDs holds the ids of the last requests sent on the connection.
+	recentIDs [maxRecentIDs]string
+	calls     int
 }
 
-// rememberedIDs is for how many further requests a late copy of an answer is
-// expected.
-const rememberedIDs = 8
+// maxRecentIDs is the number of later requests during which a late duplicate
+// response can still arrive.
+const maxRecentIDs = 8
 
-// note remembers a request's id. A copy of its answer may still come; it must
-// not answer the same request when that is sent again.
-func (c *conn) note(id string) {
-	c.carried[c.calls%rememberedIDs] = id
+// recordID records the id of a request. A late duplicate of its response must
+// not be taken as the response to a retry of the same request.
+func (c *conn) recordID(id string) {
+	c.recentIDs[c.calls%maxRecentIDs] = id
 	c.calls++
 }
 
-func (c *conn) hasCarried(id string) bool { return id != "" && slices.Contains(c.carried[:], id) }
+func (c *conn) recentlySent(id string) bool { return id != "" && slices.Contains(c.recentIDs[:], id) }
 
 func dial(ctx context.Context, address string, timeout time.Duration) (*conn, error) {
 	dialer := net.Dialer{
 		Timeout:         timeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount},
-		ControlContext:  boundUnacknowledged,
+		ControlContext:  setUserTimeout,
 	}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferSize)}, nil
 }
 
-// boundUnacknowledged makes the system end a connection whose peer does not
-// acknowledge. A parted server would otherwise hold its requests for minutes.
-func boundUnacknowledged(_ context.Context, _, _ string, raw syscall.RawConn) error {
-	var failure error
+// setUserTimeout sets TCP_USER_TIMEOUT, so that the kernel closes a connection
+// whose peer stops acknowledging data. Requests to a server behind a network
+// partition would otherwise hang for minutes.
+func setUserTimeout(_ context.Context, _, _ string, raw syscall.RawConn) error {
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		failure = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledged.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failure
+	return sockErr
 }
 
-// quiet reports whether an idle connection is open and holds no bytes. Bytes
-// that came while nothing was asked belong to no request.
-func (c *conn) quiet() bool {
+// isIdle reports whether the connection is open and has no unread bytes. Bytes
+// that arrive while no request is in flight belong to no request.
+func (c *conn) isIdle() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -113,24 +114,24 @@
 	return err == nil && idle
 }
 
-// noteKeepAlive sets how long the connection may be kept, from the value of
-// the answer's Keep-Alive header.
-func (c *conn) noteKeepAlive(value string, now time.Time) {
-	kept := defaultIdle
+// setExpiry sets how long the connection may be kept, from the value of the
+// response's Keep-Alive header.
+func (c *conn) setExpiry(value string, now time.Time) {
+	lifetime := defaultIdle
 	for part := range strings.SplitSeq(value, ",") {
 		text, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !found {
 			continue
 		}
 		if seconds, err := strconv.Atoi(text); err == nil {
-			kept = max(time.Duration(seconds)*time.Second-expiryMargin, 0)
+			lifetime = max(time.Duration(seconds)*time.Second-expiryMargin, 0)
 		}
 	}
-	c.expires = now.Add(kept)
+	c.expires = now.Add(lifetime)
 }
 
-// Pool keeps connections to servers, by address and incarnation: a connection
-// of an earlier incarnation must not carry requests meant for a later one.
+// Pool keeps idle connections to servers by address and incarnation: a
+// connection to an earlier incarnation must not carry requests for a later one.
 type Pool struct {
 	dialTimeout time.Duration
 
@@ -144,7 +145,7 @@
 	ID      string
 }
 
-// maxIdle bounds the connections that are kept to one server.
+// maxIdle is the maximum number of idle connections per target.
 const maxIdle = 32
 
 // NewPool returns a pool with no connections.
@@ -152,17 +153,17 @@
 	return &Pool{dialTimeout: dialTimeout, idle: make(map[Target][]*conn)}
 }
 
-// take returns the connection that was used last and has not carried the request
-// of this id, or a new one. Of a reused one the server may know already that it
-// is closed.
-func (p *Pool) take(ctx context.Context, target Target, id string) (c *conn, reused bool, err error) {
+// get returns the most recently used idle connection on which no request with
+// this id was sent recently, or a new one. The server may already have closed a
+// reused connection.
+func (p *Pool) get(ctx context.Context, target Target, id string) (c *conn, reused bool, err error) {
 	now := time.Now()
 	for {
 		c := p.pop(target, id)
 		if c == nil {
 			break
 		}
-		if now.Before(c.expires) && c.quiet() {
+		if now.Before(c.expires) && c.isIdle() {
 			return c, true, nil
 		}
 		_ = c.Close()
@@ -174,10 +175,10 @@
 func (p *Pool) pop(target Target, id string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := p.idle[target]
-	for i := len(kept) - 1; i >= 0; i-- {
-		if c := kept[i]; !c.hasCarried(id) {
-			p.idle[target] = slices.Delete(kept, i, i+1)
+	idle := p.idle[target]
+	for i := len(idle) - 1; i >= 0; i-- {
+		if c := idle[i]; !c.recentlySent(id) {
+			p.idle[target] = slices.Delete(idle, i, i+1)
 			return c
 		}
 	}
@@ -195,32 +196,32 @@
 	p.idle[target] = append(p.idle[target], c)
 }
 
-// Idle is how many connections to a server are kept.
+// Idle returns the number of idle connections to a target.
 func (p *Pool) Idle(target Target) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle[target])
 }
 
-// Sweep closes connections that have expired, and all of servers for which
-// keep is false.
+// Sweep closes the idle connections that have expired and those to targets for
+// which keep returns false.
 func (p *Pool) Sweep(now time.Time, keep func(Target) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for target, conns := range p.idle {
-		left := conns[:0]
+		live := conns[:0]
 		for _, c := range conns {
 			if now.Before(c.expires) && keep(target) {
-				left = append(left, c)
+				live = append(live, c)
 			} else {
 				_ = c.Close()
 			}
 		}
-		clear(conns[len(left):])
-		if len(left) == 0 {
+		clear(conns[len(live):])
+		if len(live) == 0 {
 			delete(p.idle, target)
 		} else {
-			p.idle[target] = left
+			p.idle[target] = live
 		}
 	}
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -13,22 +13,22 @@
 	"time"
 )
 
-// patience bounds calls that are expected to end; no test waits for it.
-const patience = time.Minute
+// testTimeout bounds calls that are expected to end earlier; no test waits for it.
+const testTimeout = time.Minute
 
-// script answers the requests of each connection by one text after the other.
-// A text that ends with "<reset>" is followed by a reset, one with "<end>" by an
-// orderly end.
-func script(t *testing.T, texts ...string) (Target, *atomic.Int64) {
+// startServer starts a server that responds to successive requests with
+// successive texts. After a text that ends with "<reset>" it resets the
+// connection, after one that ends with "<end>" it closes it orderly.
+func startServer(t *testing.T, texts ...string) (Target, *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	answers := make(chan string, len(texts))
+	responses := make(chan string, len(texts))
 	for _, text := range texts {
-		answers <- text
+		responses <- text
 	}
 	connections := new(atomic.Int64)
 	go func() {
@@ -38,13 +38,13 @@
 				return
 			}
 			connections.Add(1)
-			go answer(conn, answers)
+			go serveScript(conn, responses)
 		}
 	}()
 	return Target{Address: listener.Addr().String(), ID: "s"}, connections
 }
 
-func answer(conn net.Conn, answers <-chan string) {
+func serveScript(conn net.Conn, responses <-chan string) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -53,7 +53,7 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, request.Body)
-		text := <-answers
+		text := <-responses
 		plain := strings.TrimSuffix(strings.TrimSuffix(text, "<reset>"), "<end>")
 		_, _ = io.WriteString(conn, plain)
 		if strings.HasSuffix(text, "<reset>") {
@@ -66,61 +66,61 @@
 	}
 }
 
-func ask(id string) *Request {
+func newRequest(id string) *Request {
 	return &Request{Method: http.MethodPost, URI: "/x", Host: "h", Body: []byte("body"), ID: id, IDHeader: "Id"}
 }
 
 func call(t *testing.T, pool *Pool, target Target, id string) (status int, body string, err error) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	status, _, data, err := pool.CallWhole(ctx, target, ask(id), 1<<20)
+	status, _, data, err := pool.CallWhole(ctx, target, newRequest(id), 1<<20)
 	return status, string(data), err
 }
 
 const (
-	whole = "HTTP/1.1 200 OK\r\nId: r1\r\nContent-Length: 5\r\n\r\nhello"
-	next  = "HTTP/1.1 200 OK\r\nId: r2\r\nContent-Length: 5\r\n\r\nthere"
+	response1 = "HTTP/1.1 200 OK\r\nId: r1\r\nContent-Length: 5\r\n\r\nhello"
+	response2 = "HTTP/1.1 200 OK\r\nId: r2\r\nContent-Length: 5\r\n\r\nthere"
 )
 
-// A server breaks its answers in every way that the wire allows. Only a whole
-// answer to this very request may pass; a caller that got half a draft, or a
-// neighbour's, would take it for its own.
-func TestOnlyWholeAnswersToTheRequestPass(t *testing.T) {
-	stray := strings.Replace(whole, "r1", "r0", 1)
+// A server sends responses that are malformed or truncated at any point. Only a
+// complete response to this request may be accepted; the caller could not detect
+// a truncated response or one to another request.
+func TestCallAcceptsOnlyCompleteMatchingResponses(t *testing.T) {
+	stray := strings.Replace(response1, "r1", "r0", 1)
 	tests := []struct {
 		name, text, body string
 		ok               bool
 	}{
-		{"whole", whole, "hello", true},
-		{"in chunks", "HTTP/1.1 200 OK\r\nId: r1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", "hello", true},
+		{"complete", response1, "hello", true},
+		{"chunked", "HTTP/1.1 200 OK\r\nId: r1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", "hello", true},
 		{"without a length", "HTTP/1.1 200 OK\r\nId: r1\r\n\r\nhello<end>", "hello", true},
-		{"behind an interim answer", "HTTP/1.1 103 Early Hints\r\n\r\n" + whole, "hello", true},
-		{"behind a late answer to another", stray + whole, "hello", true},
-		{"cut short", "HTTP/1.1 200 OK\r\nId: r1\r\nContent-Length: 9\r\n\r\nhello<end>", "", false},
+		{"after an interim response", "HTTP/1.1 103 Early Hints\r\n\r\n" + response1, "hello", true},
+		{"after a stray response", stray + response1, "hello", true},
+		{"truncated", "HTTP/1.1 200 OK\r\nId: r1\r\nContent-Length: 9\r\n\r\nhello<end>", "", false},
 		{"reset without a length", "HTTP/1.1 200 OK\r\nId: r1\r\n\r\nhello<reset>", "", false},
-		{"chunks without their end", "HTTP/1.1 200 OK\r\nId: r1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n<end>", "", false},
-		{"no answer", "<end>", "", false},
-		{"no protocol", "what?\r\n\r\n<end>", "", false},
-		{"strangers' answers only", stray + stray + stray + whole, "", false},
+		{"chunked without last chunk", "HTTP/1.1 200 OK\r\nId: r1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n<end>", "", false},
+		{"no response", "<end>", "", false},
+		{"not HTTP", "what?\r\n\r\n<end>", "", false},
+		{"too many stray responses", stray + stray + stray + response1, "", false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			target, _ := script(t, test.text)
-			_, body, err := call(t, NewPool(patience), target, "r1")
+			target, _ := startServer(t, test.text)
+			_, body, err := call(t, NewPool(testTimeout), target, "r1")
 			if (err == nil) != test.ok || body != test.body {
 				t.Errorf("got %q, %v; want %q, ok = %v", body, err, test.body, test.ok)
 			}
 			if err != nil && !Sent(err) {
-				t.Error("the request was sent, and counts as not sent")
+				t.Error("the request was sent, but Sent reports false")
 			}
 		})
 	}
 }
 
-func TestAConnectionIsKeptForTheNextRequest(t *testing.T) {
-	target, connections := script(t, whole, next)
-	pool := NewPool(patience)
+func TestConnectionIsReused(t *testing.T) {
+	target, connections := startServer(t, response1, response2)
+	pool := NewPool(testTimeout)
 	for _, id := range []string{"r1", "r2"} {
 		if _, _, err := call(t, pool, target, id); err != nil {
 			t.Fatal(err)
@@ -131,11 +131,11 @@
 	}
 }
 
-// A faulty server sends bytes behind its answer. On the next request they would
-// stand where that one's answer is due.
-func TestAConnectionWithBytesLeftIsNotUsedAgain(t *testing.T) {
-	target, connections := script(t, whole+"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", next)
-	pool := NewPool(patience)
+// A faulty server sends extra bytes after its response. If the connection were
+// reused, they would be read as the response to the next request.
+func TestConnectionWithTrailingBytesIsNotReused(t *testing.T) {
+	target, connections := startServer(t, response1+"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", response2)
+	pool := NewPool(testTimeout)
 	if _, _, err := call(t, pool, target, "r1"); err != nil {
 		t.Fatal(err)
 	}
@@ -147,15 +147,15 @@
 	}
 }
 
-func TestAClosedIdleConnectionIsNoticedBeforeItIsUsed(t *testing.T) {
-	target, _ := script(t, whole+"<end>", next)
-	pool := NewPool(patience)
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
+	target, _ := startServer(t, response1+"<end>", response2)
+	pool := NewPool(testTimeout)
 	if _, _, err := call(t, pool, target, "r1"); err != nil {
 		t.Fatal(err)
 	}
 	for _, kept := range pool.idle[target] {
-		// The end arrives some time behind the answer.
-		for kept.quiet() {
+		// The close arrives some time after the response.
+		for kept.isIdle() {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -164,22 +164,22 @@
 	}
 }
 
-func TestAServerThatListensNoMoreGetsNothing(t *testing.T) {
+func TestRefusedConnectionIsNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
 	_ = listener.Close()
-	_, _, err = call(t, NewPool(patience), Target{Address: address}, "r1")
+	_, _, err = call(t, NewPool(testTimeout), Target{Address: address}, "r1")
 	if err == nil || Sent(err) {
-		t.Errorf("got %v, want an error that says that nothing was sent", err)
+		t.Errorf("got %v, want a NotSentError", err)
 	}
 }
 
-// A caller leaves while a server works for it. The closed connection is how the
-// server learns that it can stop.
-func TestTheConnectionEndsWithItsCaller(t *testing.T) {
+// A caller cancels while the server works on its request. The server detects by
+// the closed connection that it can stop.
+func TestCancelClosesConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -201,7 +201,7 @@
 		_, _ = conn.Read(make([]byte, 1))
 		ended <- err
 	}()
-	_, err = NewPool(patience).Call(ctx, Target{Address: listener.Addr().String()}, ask("r1"))
+	_, err = NewPool(testTimeout).Call(ctx, Target{Address: listener.Addr().String()}, newRequest("r1"))
 	if !errors.Is(err, context.Canceled) {
 		t.Errorf("the call ended with %v", err)
 	}
@@ -210,27 +210,27 @@
 	}
 }
 
-func TestConnectionsOfServersThatAreGoneAreClosed(t *testing.T) {
-	target, _ := script(t, whole)
-	pool := NewPool(patience)
+func TestSweepClosesConnectionsOfRemovedServers(t *testing.T) {
+	target, _ := startServer(t, response1)
+	pool := NewPool(testTimeout)
 	if _, _, err := call(t, pool, target, "r1"); err != nil {
 		t.Fatal(err)
 	}
 	pool.Sweep(time.Now(), func(Target) bool { return false })
 	if len(pool.idle) != 0 {
-		t.Error("a connection to a server that is gone is kept")
+		t.Error("connection to a removed server was kept")
 	}
 }
 
-func TestKeepAliveOfTheServerBoundsHowLongAConnectionIsKept(t *testing.T) {
+func TestKeepAliveTimeoutSetsExpiry(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for value, want := range map[string]time.Duration{
 		"timeout=10": 10*time.Second - expiryMargin, "max=5, timeout=2": 2*time.Second - expiryMargin, "timeout=0": 0, "": defaultIdle, "timeout=x": defaultIdle,
 	} {
 		var c conn
-		c.noteKeepAlive(value, now)
+		c.setExpiry(value, now)
 		if got := c.expires.Sub(now); got != want {
-			t.Errorf("%q keeps it %s, want %s", value, got, want)
+			t.Errorf("Keep-Alive %q: expires after %s, want %s", value, got, want)
 		}
 	}
 }
