--- a/internal/relay/model.go
+++ b/internal/relay/model.go
@@ -9,24 +9,25 @@
 	"github.com/pkg/errors"
 )
 
-// maxPeek bounds how much of an answer is held back to learn its model, in bytes.
+// maxPeek is the maximum number of bytes of a response that are buffered to find
+// its model.
 const maxPeek = 1 << 20
 
-// eventPrefix begins the data line of a server-sent event.
+// eventPrefix is the prefix of the data line of a server-sent event.
 var eventPrefix = []byte("data:")
 
-var errNoModel = errors.New("the answer names no model")
+var errNoModel = errors.New("response names no model")
 
-// PeekModel reads the model that an answer names of itself, in its JSON body
-// or its first server-sent event, and returns a reader of the whole answer.
+// PeekModel returns the model named in a response, in its JSON body or its first
+// server-sent event, and a reader of the complete response.
 //
-// An agent's own table says which adapter ought to have run. An engine that
-// restarted between the load and the dispatch, or that falls back to its base
-// model, shows only in its own word, and it must be read before the first byte
-// reaches the caller.
+// The agent's own table only records which adapter should have run. That an
+// engine restarted between the load and the dispatch, or fell back to its base
+// model, is visible only in the model named in its response, which must be
+// checked before the first byte reaches the caller.
 func PeekModel(body io.Reader) (string, io.Reader, error) {
-	var held bytes.Buffer
-	source := bufio.NewReader(io.TeeReader(io.LimitReader(body, maxPeek), &held))
+	var buffered bytes.Buffer
+	source := bufio.NewReader(io.TeeReader(io.LimitReader(body, maxPeek), &buffered))
 	if err := skipToJSON(source); err != nil {
 		return "", nil, err
 	}
@@ -34,10 +35,10 @@
 	if err != nil {
 		return "", nil, err
 	}
-	return model, io.MultiReader(&held, body), nil
+	return model, io.MultiReader(&buffered, body), nil
 }
 
-// skipToJSON leaves the reader at the first object, past comments and other
+// skipToJSON advances the reader to the first JSON object, past comments and other
 // fields of an event stream.
 func skipToJSON(source *bufio.Reader) error {
 	for {
@@ -54,7 +55,8 @@
 	}
 }
 
-// skipField skips white space, the prefix of a data line, or another line.
+// skipField skips a white-space character, the prefix of a data line, or any
+// other line.
 func skipField(source *bufio.Reader, next byte) error {
 	if next == ' ' || next == '\n' || next == '\r' || next == '\t' {
 		_, err := source.Discard(1)
@@ -71,7 +73,7 @@
 	return err
 }
 
-// topLevelModel reads the member "model" of one object.
+// topLevelModel returns the top-level member "model" of a JSON object.
 func topLevelModel(decoder *json.Decoder) (string, error) {
 	if _, err := decoder.Token(); err != nil {
 		return "", errors.Wrap(err, "read answer")
--- a/internal/relay/model_test.go
+++ b/internal/relay/model_test.go
@@ -8,7 +8,7 @@
 	"github.com/rosemarypass/rosemarypass/internal/relay"
 )
 
-func TestPeekModelReadsTheEnginesOwnWord(t *testing.T) {
+func TestPeekModel(t *testing.T) {
 	cases := []struct{ name, answer, want string }{
 		{"json", `{"id":"1","choices":[{"text":"{\"model\":\"no\"}"}],"model":"a@1"}`, "a@1"},
 		{"event", "data: {\"model\":\"a@1\"}\n\ndata: [DONE]\n\n", "a@1"},
@@ -41,7 +41,7 @@
 			return
 		}
 		if data, err := io.ReadAll(whole); err != nil || string(data) != answer {
-			t.Errorf("%q was relayed as %q, %v", answer, data, err)
+			t.Errorf("response %q was relayed as %q, %v", answer, data, err)
 		}
 	})
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay forwards one HTTP call to the next hop, once at most, and says
-// what of an answer's header concerns one connection only. Package answer gives
-// the answer to the caller.
+// Package relay forwards an HTTP call to the next hop at most once and separates
+// end-to-end from hop-by-hop headers. Package answer writes the response to the
+// caller.
 package relay
 
 import (
@@ -19,7 +19,7 @@
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// CopyHeader adds end-to-end headers of src to dst.
+// CopyHeader adds the end-to-end headers of src to dst.
 func CopyHeader(dst, src http.Header) {
 	dropped := make(map[string]struct{})
 	for _, name := range hopByHop {
--- a/internal/relay/seal_test.go
+++ b/internal/relay/seal_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// A request is given up before its writer has run, and its caller is told that
-// it was not run. The writer runs a moment later; if its bytes still left, the
-// caller's resend would be the second booking.
-func TestASealedConnectionWritesNoMore(t *testing.T) {
+// A request is abandoned before its writer goroutine has run, and its caller is
+// told that it did not run. The writer runs a moment later; if its bytes were
+// still sent, the caller's retry would book a second time.
+func TestSealedConnectionRejectsWrites(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
 	go func() {
@@ -24,12 +24,12 @@
 	if _, err := conn.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	var later usedConns
-	later.add(httptrace.GotConnInfo{Conn: conn})
-	if later.seal() {
-		t.Error("the bytes of an earlier request count as this one's")
+	var used usedConns
+	used.add(httptrace.GotConnInfo{Conn: conn})
+	if used.seal() {
+		t.Error("writes of an earlier request were counted for this one")
 	}
 	if _, err := conn.Write([]byte("y")); err == nil {
-		t.Error("a byte left after the request was reported as not sent")
+		t.Error("a byte was sent after the request was reported as not sent")
 	}
 }
--- a/internal/relay/socket_linux.go
+++ b/internal/relay/socket_linux.go
@@ -8,18 +8,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// boundUnacknowledged ends a connection whose prompt peer acknowledges nothing
-// for the timeout. Linux otherwise sends again for a quarter of an hour.
-func boundUnacknowledged(ctx context.Context, _, _ string, raw syscall.RawConn) error {
+// setUserTimeout sets TCP_USER_TIMEOUT for connections to prompt peers, so that
+// the kernel closes a connection on which sent data stays unacknowledged for
+// silenceTimeout. By default, Linux retransmits for about 15 minutes.
+func setUserTimeout(ctx context.Context, _, _ string, raw syscall.RawConn) error {
 	if !promptPeer(ctx) {
 		return nil
 	}
-	var failed error
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silenceTimeout.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silenceTimeout.Milliseconds()))
 	})
 	if err != nil {
-		return errors.Wrap(err, "reach the socket")
+		return errors.Wrap(err, "access socket")
 	}
-	return errors.Wrap(failed, "set TCP_USER_TIMEOUT")
+	return errors.Wrap(sockErr, "set TCP_USER_TIMEOUT")
 }
--- a/internal/relay/socket_linux_test.go
+++ b/internal/relay/socket_linux_test.go
@@ -8,10 +8,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// A partition swallows every packet between an entry and an agent, and no
-// connection ever reports an error. Only the kernel's own bounds end the wait;
-// left at their defaults, a caller would wait for a quarter of an hour.
-func TestASilentPeerIsFoundWithinSeconds(t *testing.T) {
+// A network partition drops every packet between an entry and an agent, and no
+// connection reports an error. Only the timeouts of the kernel end the wait; with
+// their default values a caller would wait for about 15 minutes.
+func TestDialerSetsKeepAliveAndUserTimeout(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/relay/socket_other.go
+++ b/internal/relay/socket_other.go
@@ -7,5 +7,6 @@
 	"syscall"
 )
 
-// boundUnacknowledged has no counterpart here; probes alone find a silent peer.
-func boundUnacknowledged(context.Context, string, string, syscall.RawConn) error { return nil }
+// setUserTimeout does nothing: TCP_USER_TIMEOUT is specific to Linux. Only
+// keep-alive probes detect a silent peer on this platform.
+func setUserTimeout(context.Context, string, string, syscall.RawConn) error { return nil }
--- a/internal/relay/transport.go
+++ b/internal/relay/transport.go
@@ -12,14 +12,15 @@
 	"github.com/pkg/errors"
 )
 
-// maxIdlePerHost is how many kept-alive connections one next hop may have.
+// maxIdlePerHost is the maximum number of idle connections per next hop.
 const maxIdlePerHost = 256
 
-// idleTimeout is how long a kept-alive connection may stay unused.
+// idleTimeout is how long an idle connection is kept.
 const idleTimeout = 90 * time.Second
 
-// NewClient returns a client over a new Transport that hands redirects to the
-// caller: to follow one would run a call somewhere the caller did not ask for.
+// NewClient returns a client with a new Transport that returns redirects to the
+// caller: following one would run a call at a server that the caller did not
+// choose.
 func NewClient(dialTimeout time.Duration, options ...Option) *http.Client {
 	return &http.Client{
 		Transport:     NewTransport(dialTimeout, options...),
@@ -27,21 +28,21 @@
 	}
 }
 
-// Transport sends a request at most once and knows afterwards whether any of
-// its bytes left.
+// Transport sends a request at most once and reports afterwards whether any of
+// its bytes were sent.
 //
-// net/http silently sends a request again when a kept-alive connection dies
-// and the method is idempotent or an Idempotency-Key is present. The first
-// copy may have run, so a booking would run twice; one would notice it only by
-// a second entry in the service's books. A request from NewRequest has a body
-// that cannot be rewound, so net/http never replays it.
+// net/http silently resends a request if a kept-alive connection fails and the
+// method is idempotent or the request has an Idempotency-Key. The first copy may
+// have run, so a booking would run twice, visible only as a second entry in the
+// service's records. A request from NewRequest has a body that cannot be rewound,
+// so net/http never replays it.
 //
-// A request with Close set gets a connection of its own. On a kept-alive
-// connection that the server closed meanwhile, such a call would end in doubt
-// although the server never saw it.
+// A request with Close set gets its own connection. On a kept-alive connection
+// that the server has closed in the meantime, the outcome of such a call would be
+// unknown although the server never received it.
 type Transport struct {
-	shared *http.Transport
-	fresh  *http.Transport
+	shared   *http.Transport
+	unpooled *http.Transport
 }
 
 // NewTransport returns a transport with no connections.
@@ -49,14 +50,14 @@
 	dialer := newDialer(dialTimeout)
 	t := NewTransportOver(dialer.DialContext, options...)
 	t.shared.TLSHandshakeTimeout = dialTimeout
-	t.fresh.TLSHandshakeTimeout = dialTimeout
+	t.unpooled.TLSHandshakeTimeout = dialTimeout
 	return t
 }
 
-// How a peer that fell silent is found: by probes when nothing is under way, by
-// missing acknowledgements when something is. A request whose peer was parted
-// without a word would otherwise wait for its first byte for minutes, while
-// other servers could run it.
+// A silent peer is detected by keep-alive probes on an idle connection and by
+// missing acknowledgements while data is in flight. A request to a peer behind a
+// network partition would otherwise wait minutes for its first byte, while other
+// servers could run it.
 const (
 	probeIdle      = 2 * time.Second
 	probeInterval  = time.Second
@@ -66,9 +67,9 @@
 
 type promptPeerKey struct{}
 
-// WithPromptPeer marks calls of a peer that reads what it is sent at once, as
-// agents do. Only for such a peer do missing acknowledgements mean silence: a
-// plain service may leave a long body unread while it is busy.
+// WithPromptPeer marks calls to a peer that reads incoming data immediately, as
+// agents do. Only for such a peer do missing acknowledgements mean that it is
+// unreachable: an ordinary service may leave a long body unread while it is busy.
 func WithPromptPeer(ctx context.Context) context.Context {
 	return context.WithValue(ctx, promptPeerKey{}, true)
 }
@@ -82,20 +83,20 @@
 	return &net.Dialer{
 		Timeout:         timeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount},
-		ControlContext:  boundUnacknowledged,
+		ControlContext:  setUserTimeout,
 	}
 }
 
 // Dial opens a connection to an address.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Secure completes a handshake with the peer at an address.
+// Secure performs a TLS handshake with the peer at an address.
 type Secure func(ctx context.Context, conn net.Conn, address string) (*tls.Conn, error)
 
-// NewTransportOver returns a transport that opens its connections by dial.
+// NewTransportOver returns a transport that opens its connections with dial.
 func NewTransportOver(dial Dial, options ...Option) *Transport {
 	shared := &http.Transport{
-		DialContext:         dial.gated,
+		DialContext:         dial.dialGated,
 		MaxIdleConnsPerHost: maxIdlePerHost,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
@@ -103,13 +104,13 @@
 	for _, option := range options {
 		option(dial, shared)
 	}
-	fresh := shared.Clone()
-	fresh.DisableKeepAlives = true
-	return &Transport{shared: shared, fresh: fresh}
+	unpooled := shared.Clone()
+	unpooled.DisableKeepAlives = true
+	return &Transport{shared: shared, unpooled: unpooled}
 }
 
-// RoundTrip implements http.RoundTripper. An error for which Sent is false
-// guarantees that no byte of the request can leave any more.
+// RoundTrip implements http.RoundTripper. If it returns an error for which Sent
+// is false, no byte of the request was sent or will be.
 func (t *Transport) RoundTrip(request *http.Request) (*http.Response, error) {
 	var used usedConns
 	trace := &httptrace.ClientTrace{GotConn: used.add}
@@ -121,29 +122,30 @@
 	return response, err
 }
 
-// CloseIdleConnections closes kept-alive connections that serve no request.
+// CloseIdleConnections closes idle kept-alive connections.
 func (t *Transport) CloseIdleConnections() { t.shared.CloseIdleConnections() }
 
 func (t *Transport) transportFor(request *http.Request) *http.Transport {
 	if request.Close {
-		return t.fresh
+		return t.unpooled
 	}
 	return t.shared
 }
 
-// NotSentError marks a request of which no byte left and none can any more.
+// NotSentError reports that no byte of the request was sent and none will be.
 type NotSentError struct{ error }
 
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.error }
 
-// Sent reports whether a request that failed with err may have left in part.
+// Sent reports whether any byte of a request that failed with err may have been
+// sent.
 func Sent(err error) bool {
 	var notSent *NotSentError
 	return !errors.As(err, &notSent)
 }
 
-func (dial Dial) gated(ctx context.Context, network, address string) (net.Conn, error) {
+func (dial Dial) dialGated(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := dial(ctx, network, address)
 	if err != nil {
 		return nil, err
@@ -151,19 +153,19 @@
 	return &gatedConn{Conn: conn}, nil
 }
 
-// Option changes how a transport connects.
+// Option configures how a transport connects.
 type Option func(Dial, *http.Transport)
 
-// WithSecure completes the handshakes of https connections by secure.
+// WithSecure performs the TLS handshakes of https connections with secure.
 func WithSecure(secure Secure) Option {
 	return func(dial Dial, transport *http.Transport) {
-		transport.DialTLSContext = dial.gatedTLS(secure)
+		transport.DialTLSContext = dial.dialGatedTLS(secure)
 	}
 }
 
-func (dial Dial) gatedTLS(secure Secure) Dial {
+func (dial Dial) dialGatedTLS(secure Secure) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		conn, err := dial.gated(ctx, network, address)
+		conn, err := dial.dialGated(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
@@ -171,11 +173,11 @@
 	}
 }
 
-var errSealed = errors.New("connection sealed: its request was given up")
+var errSealed = errors.New("connection sealed: its request was abandoned")
 
-// gatedConn counts writes and can be sealed. RoundTrip may return while the
-// goroutine that writes the request has not begun; without the seal the
-// request could leave after its caller was told that it was not run.
+// gatedConn counts writes and can be sealed against further ones. RoundTrip may
+// return before the goroutine that writes the request has started; without the
+// seal, the request could be sent after its caller was told that it did not run.
 type gatedConn struct {
 	net.Conn
 	mu     sync.Mutex
@@ -200,13 +202,13 @@
 	return true
 }
 
-func (c *gatedConn) begun() uint64 {
+func (c *gatedConn) writeCount() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// seal refuses later writes and returns how many had begun.
+// seal makes later writes fail and returns the number of writes already started.
 func (c *gatedConn) seal() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -214,7 +216,7 @@
 	return c.writes
 }
 
-// usedConns are the connections that one request was given.
+// usedConns records the connections assigned to one request.
 type usedConns struct {
 	mu    sync.Mutex
 	conns []usedConn
@@ -222,8 +224,8 @@
 
 type usedConn struct {
 	conn *gatedConn
-	// before counts the writes of earlier requests on the connection.
-	before uint64
+	// priorWrites is the number of writes of earlier requests on the connection.
+	priorWrites uint64
 }
 
 func (u *usedConns) add(info httptrace.GotConnInfo) {
@@ -234,16 +236,17 @@
 	conn := raw.(*gatedConn)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.conns = append(u.conns, usedConn{conn: conn, before: conn.begun()})
+	u.conns = append(u.conns, usedConn{conn: conn, priorWrites: conn.writeCount()})
 }
 
-// seal stops the request from leaving and reports whether any of it had.
+// seal prevents further writes of the request and reports whether any write of it
+// had started.
 func (u *usedConns) seal() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	sent := false
 	for _, used := range u.conns {
-		if used.conn.seal() > used.before {
+		if used.conn.seal() > used.priorWrites {
 			sent = true
 		}
 	}
--- a/internal/relay/transport_test.go
+++ b/internal/relay/transport_test.go
@@ -17,8 +17,9 @@
 	"github.com/rosemarypass/rosemarypass/internal/relay"
 )
 
-// droppingServer answers the first request on each connection and reads the
-// second whole, then drops the connection without a word.
+// droppingServer starts a server that responds to the first request it receives
+// and closes the connection of every later one after reading it completely,
+// without a response.
 func droppingServer(t *testing.T) (address string, reads *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -71,10 +72,10 @@
 	return err
 }
 
-// A booking desk reads a deposit on a kept-alive connection and crashes before
-// it answers. net/http sends the deposit again by itself because it carries an
-// Idempotency-Key, and a grandmother pays twice.
-func TestADroppedCallIsSentOnceOnly(t *testing.T) {
+// A booking service reads a deposit on a kept-alive connection and crashes before
+// it responds. net/http resends the deposit on its own because it carries an
+// Idempotency-Key, and the payer is charged twice.
+func TestDroppedCallIsNotReplayed(t *testing.T) {
 	cases := []struct{ name, method, body string }{
 		{"post with a key", http.MethodPost, `{"deposit":1}`},
 		{"post with a key and no body", http.MethodPost, ""},
@@ -83,14 +84,14 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			address, reads := droppingServer(t)
-			naive := &http.Client{Transport: &http.Transport{}}
-			_ = callTwice(t, naive, func() *http.Request {
+			standard := &http.Client{Transport: &http.Transport{}}
+			_ = callTwice(t, standard, func() *http.Request {
 				request, _ := http.NewRequest(c.method, "http://"+address, bytes.NewReader([]byte(c.body)))
 				request.Header.Set("Idempotency-Key", "k")
 				return request
 			})
 			if reads.Load() < 3 {
-				t.Errorf("net/http no longer replays (%d reads): the reason for this package is gone", reads.Load())
+				t.Errorf("net/http no longer replays requests (%d reads): this package is no longer needed", reads.Load())
 			}
 			address, reads = droppingServer(t)
 			err := callTwice(t, relay.NewClient(time.Second), func() *http.Request {
@@ -102,16 +103,16 @@
 				return request
 			})
 			if reads.Load() != 2 || err == nil || !relay.Sent(err) {
-				t.Errorf("%d reads, error %v: want 2 reads and an error after the bytes were sent", reads.Load(), err)
+				t.Errorf("%d reads, error %v: want 2 reads and an error for which Sent is true", reads.Load(), err)
 			}
 		})
 	}
 }
 
-// A service closes its idle connections just when the next pallet release is
-// sent on one. The release never reached the service, yet its sender would be
-// told that its fate is unknown.
-func TestACallThatMustNotRepeatGetsItsOwnConnection(t *testing.T) {
+// A service closes an idle connection just as the next request is sent on it. The
+// request never reaches the service, yet its sender would be told that the outcome
+// is unknown.
+func TestCloseRequestUsesOwnConnection(t *testing.T) {
 	address, reads := droppingServer(t)
 	client := relay.NewClient(time.Second)
 	for range 2 {
@@ -129,14 +130,14 @@
 		}
 	}
 	if reads.Load() != 2 {
-		t.Errorf("%d reads", reads.Load())
+		t.Errorf("%d reads, want 2", reads.Load())
 	}
 }
 
-// A request is given up while its connection is ready but nothing is written
-// yet. If the writing went on afterwards, the caller's resend would run the
+// A request is abandoned when its connection is ready but nothing has been
+// written yet. If it were written afterwards, the caller's retry would run the
 // call a second time.
-func TestNothingLeavesAfterARequestIsReportedAsNotSent(t *testing.T) {
+func TestNotSentRequestWritesNothingLater(t *testing.T) {
 	for range 200 {
 		client, server := net.Pipe()
 		transport := relay.NewTransportOver(func(context.Context, string, string) (net.Conn, error) { return client, nil })
@@ -149,21 +150,21 @@
 		go cancel()
 		_, err = transport.RoundTrip(request)
 		if err == nil {
-			t.Fatal("a silent server answered")
+			t.Fatal("got a response from a silent server")
 		}
 		if relay.Sent(err) {
 			continue
 		}
 		_ = server.SetReadDeadline(time.Now().Add(time.Millisecond))
 		if n, _ := server.Read(make([]byte, 1)); n > 0 {
-			t.Fatal("a byte left after the request was reported as not sent")
+			t.Fatal("a byte was sent after the request was reported as not sent")
 		}
 	}
 }
 
-// A server falls silent within an answer, and a caller reads slowly. Only the
-// first may be ended: a slow caller is not the server's fault.
-func TestAWatchdogEndsSilenceButNotSlowReading(t *testing.T) {
+// A server stops sending in the middle of a response, or a caller reads slowly.
+// Only the former may end the call: a slow caller is not the server's fault.
+func TestWatchdogIgnoresSlowReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const timeout = time.Second
 		ctx, watchdog := relay.Watch(t.Context(), timeout)
@@ -182,12 +183,12 @@
 			time.Sleep(5 * timeout)
 		}
 		if ctx.Err() != nil {
-			t.Fatal("slow reading ended the call")
+			t.Fatal("slow reader ended the call")
 		}
 		go func() { _, _ = reader.Read(make([]byte, 1)) }()
 		time.Sleep(2 * timeout)
 		if !errors.Is(context.Cause(ctx), relay.ErrStalled) {
-			t.Errorf("silence did not end the call: %v", context.Cause(ctx))
+			t.Errorf("silent server did not end the call: %v", context.Cause(ctx))
 		}
 		_ = sink.Close()
 	})
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -10,71 +10,72 @@
 )
 
 const (
-	// maxUnframed bounds an object that is kept to see that it is whole, in bytes.
+	// maxUnframed is the maximum size, in bytes, of an unframed JSON response, which
+	// is buffered to check that it is complete.
 	maxUnframed = 8 << 20
-	// lastEventBytes is more than the last event of a stream has.
-	lastEventBytes = 64
+	// doneEventBytes is larger than the last event of a stream, in bytes.
+	doneEventBytes = 64
 )
 
-// ShownEnd returns a reader of an engine's answer that ends with io.EOF only
-// when the answer is whole, and with io.ErrUnexpectedEOF otherwise. Where the
-// answer's frame tells its end, that is the body itself. An answer that ends
-// with its connection must show its end: an engine that crashes closes the
-// connection in good order, too. A stream of events shows it by the event
-// [DONE], any other answer by being a JSON value of at most 8 MiB.
+// ShownEnd returns a reader of an engine's response that ends with io.EOF only
+// if the response is complete, and with io.ErrUnexpectedEOF otherwise. If the
+// response is framed, the reader is the body itself. A response delimited by the
+// close of its connection needs an explicit end, because the connection of an
+// engine that crashes is closed orderly as well: an event stream must end with
+// the event [DONE], any other response must be a JSON value of at most 8 MiB.
 func ShownEnd(response *http.Response, body io.Reader) io.Reader {
 	framed := response.ContentLength >= 0 || slices.Contains(response.TransferEncoding, "chunked") || response.ProtoMajor != 1
 	switch {
 	case framed:
 		return body
 	case strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream"):
-		return &shownEnd{from: body, most: lastEventBytes, whole: endsWithLastEvent}
+		return &endVerifier{src: body, limit: doneEventBytes, complete: endsWithDoneEvent}
 	default:
-		return &shownEnd{from: body, most: maxUnframed, whole: isObject}
+		return &endVerifier{src: body, limit: maxUnframed, complete: isCompleteJSON}
 	}
 }
 
-// shownEnd looks at the last bytes of what it reads.
-type shownEnd struct {
-	from io.Reader
-	// last are the last bytes, at least most of them.
-	last  []byte
-	most  int
-	whole func(last []byte) bool
+// endVerifier checks at io.EOF whether the last bytes read show a complete response.
+type endVerifier struct {
+	src io.Reader
+	// tail holds the last bytes read: all of them, or at least limit.
+	tail     []byte
+	limit    int
+	complete func(tail []byte) bool
 }
 
 // Read implements io.Reader.
-func (s *shownEnd) Read(p []byte) (int, error) {
-	n, err := s.from.Read(p)
-	s.last = append(s.last, p[:n]...)
-	if len(s.last) > 2*s.most {
-		s.last = slices.Delete(s.last, 0, len(s.last)-s.most)
+func (v *endVerifier) Read(p []byte) (int, error) {
+	n, err := v.src.Read(p)
+	v.tail = append(v.tail, p[:n]...)
+	if len(v.tail) > 2*v.limit {
+		v.tail = slices.Delete(v.tail, 0, len(v.tail)-v.limit)
 	}
-	if err == io.EOF && !s.whole(s.last) {
+	if err == io.EOF && !v.complete(v.tail) {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
 }
 
 var (
-	blankLine = []byte("\n\n")
-	lineEnd   = []byte("\n")
-	lastEvent = []byte("[DONE]")
+	blankLine  = []byte("\n\n")
+	lineEnd    = []byte("\n")
+	doneMarker = []byte("[DONE]")
 )
 
-// isObject reports whether the end of an answer is the whole of it. The end of
-// a larger one lacks its first brace.
-func isObject(end []byte) bool { return len(end) <= maxUnframed && json.Valid(end) }
+// isCompleteJSON reports whether tail is a complete JSON response. The tail of a
+// response above maxUnframed lacks the opening brace.
+func isCompleteJSON(tail []byte) bool { return len(tail) <= maxUnframed && json.Valid(tail) }
 
-// endsWithLastEvent reports whether the end of a stream holds its last event,
-// whole.
-func endsWithLastEvent(end []byte) bool {
-	end = bytes.ReplaceAll(end, []byte("\r\n"), lineEnd)
-	if !bytes.HasSuffix(end, blankLine) {
+// endsWithDoneEvent reports whether tail, the end of an event stream, ends with a
+// complete [DONE] event.
+func endsWithDoneEvent(tail []byte) bool {
+	tail = bytes.ReplaceAll(tail, []byte("\r\n"), lineEnd)
+	if !bytes.HasSuffix(tail, blankLine) {
 		return false
 	}
-	end = bytes.TrimRight(end, "\n")
-	line := end[bytes.LastIndexByte(end, '\n')+1:]
+	tail = bytes.TrimRight(tail, "\n")
+	line := tail[bytes.LastIndexByte(tail, '\n')+1:]
 	data, found := bytes.CutPrefix(line, eventPrefix)
-	return found && bytes.Equal(bytes.TrimSpace(data), lastEvent)
+	return found && bytes.Equal(bytes.TrimSpace(data), doneMarker)
 }
