--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -1,13 +1,13 @@
-// Package answer writes answers to callers. A handler returns its answer as a
-// value and never sees the connection, so an answer has one header, its body
-// belongs to that header, and its end is written only where the handler said
-// that it is complete.
+// Package answer writes HTTP responses to callers. A handler returns its response
+// as an Answer value and has no access to the connection, so a response has
+// exactly one header with a body that belongs to it, and the end of the body is
+// written only if the handler declares it complete.
 //
-// net/http ends the body of an answer whenever a handler returns, and takes a
-// handler that wrote nothing for one that succeeded. A handler that writes to
-// the caller itself and meets a failure on the way makes a part look like the
-// whole. Here what is not said to be complete is cut, so that the caller sees
-// that something is missing.
+// net/http ends the body of a response whenever a handler returns, and treats a
+// handler that wrote nothing as successful. A handler that writes to the caller
+// directly and fails midway would therefore make a partial response look
+// complete. This package aborts every response that is not declared complete, so
+// that the caller detects the truncation.
 package answer
 
 import (
@@ -22,39 +22,39 @@
 	"github.com/pkg/errors"
 )
 
-// Answer is what a handler wants its caller to get. The zero value, and one
-// whose status is no final status, is no answer: the connection ends.
+// Answer is the response of a handler. For the zero value, and for an answer with
+// a status that is not final, no response is sent and the connection is closed.
 type Answer struct {
 	status int
 	header http.Header
 	body   []byte
 	feed   Feed
-	// sized is true when length is the declared one of a stream's body.
-	sized  bool
-	length int64
-	// accept bounds how long the caller may take for one piece; 0 sets no bound.
-	accept time.Duration
+	// hasLength is true if length is the declared length of a stream's body, in bytes.
+	hasLength bool
+	length    int64
+	// writeTimeout bounds each write to the caller; 0 means no timeout.
+	writeTimeout time.Duration
 }
 
-// Whole is an answer with a body that is known whole.
+// Whole returns an answer with a complete body.
 func Whole(status int, header http.Header, body []byte) Answer {
 	return Answer{status: status, header: header, body: body}
 }
 
-// Text is an answer of a few words, with a header that may be nil.
+// Text returns a plain-text answer. The header may be nil.
 func Text(status int, header http.Header, text string) Answer {
-	said := http.Header{"Content-Type": {"text/plain; charset=utf-8"}, "X-Content-Type-Options": {"nosniff"}}
-	maps.Copy(said, header)
-	return Whole(status, said, []byte(text+"\n"))
+	merged := http.Header{"Content-Type": {"text/plain; charset=utf-8"}, "X-Content-Type-Options": {"nosniff"}}
+	maps.Copy(merged, header)
+	return Whole(status, merged, []byte(text+"\n"))
 }
 
-// Stream is an answer whose body is passed on as it comes.
+// Stream returns an answer with a body that feed produces piece by piece.
 func Stream(status int, header http.Header, feed Feed) Answer {
 	return Answer{status: status, header: header, feed: feed}
 }
 
-// Closing returns the answer with the request to come back on another
-// connection.
+// Closing returns the answer with the header Connection: close, which asks the
+// caller to use another connection for its next request.
 func (a Answer) Closing() Answer {
 	a.header = maps.Clone(a.header)
 	if a.header == nil {
@@ -64,40 +64,42 @@
 	return a
 }
 
-// Sized returns a stream with the length of its body declared, in bytes. A feed
-// that passes on less or more is cut, whatever it says of its end.
+// Sized returns a streamed answer that declares the length of its body, in bytes.
+// If the feed passes fewer or more bytes, the body is cut even if the feed returns
+// Complete.
 func (a Answer) Sized(length int64) Answer {
-	a.sized, a.length = true, length
+	a.hasLength, a.length = true, length
 	return a
 }
 
-// Accepted returns the answer with a bound on how long the caller may take to
-// accept its header, each piece and its end.
+// Accepted returns the answer with a timeout for writing its header, each piece
+// and its end to the caller.
 func (a Answer) Accepted(within time.Duration) Answer {
-	a.accept = within
+	a.writeTimeout = within
 	return a
 }
 
-// Status is the status that the caller gets, 0 for no answer.
+// Status returns the HTTP status, or 0 for the zero Answer.
 func (a Answer) Status() int { return a.status }
 
-// Feed passes the body on, piece by piece, and says whether it is complete.
+// Feed passes the body piece by piece and reports with its End whether the body is
+// complete.
 type Feed func(pass Pass) End
 
-// Pass hands a piece to the caller at once. After an error the caller is gone;
-// the answer is cut whatever the feed says.
+// Pass writes a piece to the caller and flushes it. After an error the caller can
+// no longer be reached, and the answer is cut whatever End the feed returns.
 type Pass func(piece []byte) error
 
-// End says how a body ended. The zero value is Cut.
+// End is how a body ended. The zero value is Cut.
 type End struct {
 	complete bool
 	trailer  http.Header
 }
 
-// Cut ends the connection in the middle of the body.
+// Cut closes the connection before the end of the body.
 var Cut = End{}
 
-// Complete ends the body in good order, with a trailer that may be nil.
+// Complete ends the body regularly. The trailer may be nil.
 func Complete(trailer http.Header) End { return End{complete: true, trailer: trailer} }
 
 // Handler answers a request.
@@ -107,24 +109,24 @@
 func (h Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	a := h(r)
 	if !a.write(w, r) {
-		cut(w, r)
+		abort(w, r)
 	}
 }
 
-// framing are the headers that say where an answer ends; they are this
-// package's to set.
-var framing = []string{"Content-Length", "Transfer-Encoding", "Trailer"}
+// framingHeaders are the headers that delimit a response. Only this package sets
+// them.
+var framingHeaders = []string{"Content-Length", "Transfer-Encoding", "Trailer"}
 
-// write reports whether the answer went out complete.
+// write writes the answer and reports whether it was written completely.
 func (a Answer) write(w http.ResponseWriter, r *http.Request) bool {
-	if !final(a.status) {
+	if !isFinal(a.status) {
 		return false
 	}
-	a.allow(w)
+	a.setWriteDeadline(w)
 	header := w.Header()
 	maps.Copy(header, a.header)
 	length := header.Get("Content-Length")
-	for _, name := range framing {
+	for _, name := range framingHeaders {
 		header.Del(name)
 	}
 	if a.feed != nil {
@@ -132,13 +134,13 @@
 	}
 	switch {
 	case r.Method == http.MethodHead || a.status == http.StatusNotModified:
-		// The length is that of the body which is not sent.
+		// Content-Length is the length of the body that is not sent.
 		if length != "" {
 			header.Set("Content-Length", length)
 		}
 		w.WriteHeader(a.status)
 		return true
-	case !hasBody(a.status):
+	case !allowsBody(a.status):
 		w.WriteHeader(a.status)
 		return true
 	}
@@ -148,65 +150,65 @@
 	return err == nil
 }
 
-// final reports whether a status ends the wait for an answer. net/http follows
-// an informational status by a successful empty answer of its own.
-func final(status int) bool { return status >= http.StatusOK && status <= 999 }
+// isFinal reports whether a status is final, that is, not informational. After an
+// informational status net/http sends an empty successful response of its own.
+func isFinal(status int) bool { return status >= http.StatusOK && status <= 999 }
 
-// hasBody is false for answers that end with their header.
-func hasBody(status int) bool {
+// allowsBody reports whether a response with this status may have a body.
+func allowsBody(status int) bool {
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
 
 func (a Answer) writeStream(w http.ResponseWriter, r *http.Request) bool {
 	controller := http.NewResponseController(w)
-	if a.sized && hasBody(a.status) {
+	if a.hasLength && allowsBody(a.status) {
 		w.Header().Set("Content-Length", strconv.FormatInt(a.length, 10))
 	}
-	unframed := !a.sized && !r.ProtoAtLeast(1, 1)
+	unframed := !a.hasLength && !r.ProtoAtLeast(1, 1)
 	if unframed {
-		endByReset(r.Context(), true)
+		setResetOnClose(r.Context(), true)
 	}
 	w.WriteHeader(a.status)
-	var failure error
-	var passed int64
+	var writeErr error
+	var written int64
 	pass := func(piece []byte) error {
-		passed += int64(len(piece))
-		if failure == nil && a.sized && passed > a.length {
-			failure = errors.New("the body is longer than declared")
+		written += int64(len(piece))
+		if writeErr == nil && a.hasLength && written > a.length {
+			writeErr = errors.New("the body is longer than declared")
 		}
-		if failure != nil {
-			return failure
+		if writeErr != nil {
+			return writeErr
 		}
 		if r.Method == http.MethodHead {
 			return nil
 		}
-		a.allow(w)
+		a.setWriteDeadline(w)
 		if _, err := w.Write(piece); err != nil {
-			failure = errors.Wrap(err, "write to caller")
-			return failure
+			writeErr = errors.Wrap(err, "write to caller")
+			return writeErr
 		}
-		failure = errors.Wrap(controller.Flush(), "flush to caller")
-		return failure
+		writeErr = errors.Wrap(controller.Flush(), "flush to caller")
+		return writeErr
 	}
-	fed := false
+	feedReturned := false
 	defer func() {
-		// A feed that panics must not leave what looks like an end.
-		if !fed {
+		// If the feed panics, the response must not look complete.
+		if !feedReturned {
 			reset(w, r)
 		}
 	}()
 	end := a.feed(pass)
-	fed = true
-	if !end.complete || failure != nil || a.sized && passed != a.length {
+	feedReturned = true
+	if !end.complete || writeErr != nil || a.hasLength && written != a.length {
 		return false
 	}
 	if unframed {
-		endByReset(r.Context(), false)
+		setResetOnClose(r.Context(), false)
 	}
-	a.allow(w)
-	if len(end.trailer) > 0 && passed == 0 && !a.sized && controller.Flush() != nil {
-		// An answer that was begun ends with a chunk, which a trailer can follow;
-		// an empty one would be declared with its length.
+	a.setWriteDeadline(w)
+	if len(end.trailer) > 0 && written == 0 && !a.hasLength && controller.Flush() != nil {
+		// After a flush the response is chunked and can carry a trailer; an empty
+		// response that was not flushed would be sent with a Content-Length instead.
 		return false
 	}
 	for name, values := range end.trailer {
@@ -215,26 +217,28 @@
 	return true
 }
 
-// allow gives the caller its time to accept what is written next. The bound of
-// the piece before may be over by then.
-func (a Answer) allow(w http.ResponseWriter) {
-	if a.accept > 0 {
-		// Recorders in tests have no deadline to set; a connection does.
-		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(a.accept))
+// setWriteDeadline sets the deadline for the next write. The deadline of the
+// previous write may have passed by then.
+func (a Answer) setWriteDeadline(w http.ResponseWriter) {
+	if a.writeTimeout > 0 {
+		// Response recorders in tests do not support deadlines; connections do.
+		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(a.writeTimeout))
 	}
 }
 
 type connKey struct{}
 
-// ConnContext is for http.Server. With it the connection of a caller that knows no
-// chunks ends by a reset from the beginning of a stream until its end, whoever
-// closes it: a stop, or the system when the process ends.
+// ConnContext is to be set as ConnContext of an http.Server. During a stream to a
+// caller that does not support chunked encoding, any close of the connection then
+// resets it, whether by a shutdown of the server or by the kernel when the process
+// exits.
 func ConnContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// endByReset sets how the connection ends when it is closed.
-func endByReset(ctx context.Context, reset bool) {
+// setResetOnClose sets whether closing the connection resets it or closes it
+// orderly.
+func setResetOnClose(ctx context.Context, reset bool) {
 	conn, found := ctx.Value(connKey{}).(net.Conn)
 	if !found {
 		return
@@ -255,14 +259,14 @@
 	}
 }
 
-// cut ends the connection so that the caller sees that its answer is not whole.
-func cut(w http.ResponseWriter, r *http.Request) {
+// abort ends the connection so that the caller detects a truncated response.
+func abort(w http.ResponseWriter, r *http.Request) {
 	reset(w, r)
 	panic(http.ErrAbortHandler)
 }
 
-// reset resets the connection of a caller that knows no chunks: it takes the
-// orderly end of the connection for the end of the answer.
+// reset resets the connection of a caller that does not support chunked encoding:
+// such a caller takes an orderly close for the end of the response.
 func reset(w http.ResponseWriter, r *http.Request) {
 	if r.ProtoAtLeast(1, 1) {
 		return
--- a/internal/answer/writers_test.go
+++ b/internal/answer/writers_test.go
@@ -10,18 +10,18 @@
 
 const moduleRoot = "../.."
 
-// writers are the files that see a connection beside this package: those that
-// hand it on to it, and what speaks to operators and to tests.
-var writers = []string{
+// allowedWriters lists the files outside this package that use a connection directly:
+// those that pass it to this package, and those that serve operators and tests.
+var allowedWriters = []string{
 	"internal/agent/gate.go", "internal/entry/visit.go", "internal/gateway/gateway.go",
 	"internal/control/", "internal/fleet/fleet.go", "internal/standin/",
 }
 
-// A handler that holds a caller's connection can write a second header, join
-// another body to the first and return in the middle. The next one that does must
-// be a decision, not an oversight.
-func TestNobodyElseWritesToCallers(t *testing.T) {
-	met := make(map[string]bool)
+// A handler with access to the caller's connection can write a second header,
+// append another body to the first or return in the middle of one. Adding another
+// such handler must be a deliberate decision, not an oversight.
+func TestOnlyListedFilesUseResponseWriter(t *testing.T) {
+	found := make(map[string]bool)
 	err := filepath.WalkDir(moduleRoot, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
@@ -34,21 +34,21 @@
 		if err != nil || !strings.Contains(string(source), "http.ResponseWriter") || strings.HasPrefix(name, "internal/answer/") {
 			return err
 		}
-		for _, writer := range writers {
+		for _, writer := range allowedWriters {
 			if strings.HasPrefix(filepath.ToSlash(name), writer) {
-				met[writer] = true
+				found[writer] = true
 				return nil
 			}
 		}
-		t.Errorf("%s writes to a connection past package answer", name)
+		t.Errorf("%s uses http.ResponseWriter without package answer", name)
 		return nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, writer := range writers {
-		if !met[writer] {
-			t.Errorf("%s sees no connection any more: take it off the list", writer)
+	for _, writer := range allowedWriters {
+		if !found[writer] {
+			t.Errorf("%s no longer uses http.ResponseWriter: remove it from allowedWriters", writer)
 		}
 	}
 }
