--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -20,27 +20,27 @@
 
 	mu   sync.Mutex
 	conn *link
-	// dialling is the connection that is being made; all calls wait for the same one.
-	dialling *dial
+	// dialing is the dial in progress, if any; all calls wait for the same one.
+	dialing *dial
 }
 
 // link is a connection to a peer.
 type link struct {
 	*jsonrpc2.Conn
-	heard *heardConn
+	activity *activityConn
 }
 
-// dial is a connection under way. Its results are set before done is closed.
+// dial is a dial in progress. Its results are set before done is closed.
 type dial struct {
 	done chan struct{}
 	conn *link
 	err  error
 }
 
-// ClientOption changes how a client connects.
+// ClientOption configures how a client connects.
 type ClientOption func(*Client)
 
-// WithIdentity secures the client's connections; nil stands for plaintext.
+// WithIdentity secures the client's connections with TLS; nil means plaintext.
 func WithIdentity(identity *peertls.Identity) ClientOption {
 	return func(c *Client) { c.identity = identity }
 }
@@ -54,43 +54,44 @@
 	return c
 }
 
-// Call sends one request and waits for its answer or the end of ctx.
+// Call sends a request and waits for its response or the end of ctx.
 func (c *Client) Call(ctx context.Context, method string, in, out any) error {
 	conn, err := c.connect(ctx)
 	if err != nil {
 		return err
 	}
-	began := time.Now()
+	start := time.Now()
 	if err := conn.Call(ctx, method, in, out); err != nil {
-		c.dropIfBroken(conn, began, err)
+		c.dropIfBroken(conn, start, err)
 		return errors.Wrapf(err, "%s at %s", method, c.address)
 	}
 	return nil
 }
 
-// Answered reports whether a call's error is the peer's own answer. After any other
-// one the peer may have done what it was asked.
+// Answered reports whether a call's error was returned by the peer. After any other
+// error the peer may have executed the call.
 func Answered(err error) bool {
-	var answered *jsonrpc2.Error
-	return errors.As(err, &answered)
+	var rpcErr *jsonrpc2.Error
+	return errors.As(err, &rpcErr)
 }
 
-// connectTimeout bounds a new connection: a few ways between regions. To a
-// machine without power none ever opens, the first packet is sent again after a
-// second, and all other calls to the address wait meanwhile.
+// connectTimeout bounds the time to open a connection, including the TLS handshake.
+// It is a few times the one-way latency between regions. A connection to a machine
+// without power never opens, its first packet is retransmitted only after a second,
+// and all other calls to the address wait meanwhile.
 const connectTimeout = 300 * time.Millisecond
 
-// connect returns the connection, or waits for the one that is being made.
+// connect returns the current connection, or dials one and waits for it.
 func (c *Client) connect(ctx context.Context) (*link, error) {
 	c.mu.Lock()
 	if c.conn != nil && !disconnected(c.conn) {
 		defer c.mu.Unlock()
 		return c.conn, nil
 	}
-	d := c.dialling
+	d := c.dialing
 	if d == nil {
 		d = &dial{done: make(chan struct{})}
-		c.dialling = d
+		c.dialing = d
 		go c.dial(d)
 	}
 	c.mu.Unlock()
@@ -102,7 +103,7 @@
 	}
 }
 
-// dial makes a connection for all who wait for it.
+// dial opens a connection for all calls that wait for d.
 func (c *Client) dial(d *dial) {
 	ctx, cancel := context.WithTimeout(context.Background(), connectTimeout)
 	defer cancel()
@@ -113,23 +114,23 @@
 	if err != nil {
 		d.err = err
 	} else {
-		heard := &heardConn{Conn: raw}
+		active := &activityConn{Conn: raw}
 		d.conn = &link{
-			Conn:  jsonrpc2.NewConn(context.Background(), newStream(heard), jsonrpc2.HandlerWithError(refuse), jsonrpc2.SetLogger(streamErrors{})),
-			heard: heard,
+			Conn:     jsonrpc2.NewConn(context.Background(), newStream(active), jsonrpc2.HandlerWithError(rejectCall), jsonrpc2.SetLogger(streamErrorCounter{})),
+			activity: active,
 		}
 	}
 	switch {
-	case c.dialling == d:
-		c.dialling, c.conn = nil, d.conn
+	case c.dialing == d:
+		c.dialing, c.conn = nil, d.conn
 	case d.conn != nil:
-		// The client was closed meanwhile.
+		// The client was closed in the meantime.
 		_ = d.conn.Close()
 	}
 }
 
-// disconnected reports whether the peer has closed an idle connection. A call
-// sent on it would fail with an unknown fate, although it was never received.
+// disconnected reports whether the peer has closed an idle connection. A call sent
+// on it would fail with an unknown outcome, although the peer never received it.
 func disconnected(conn *link) bool {
 	select {
 	case <-conn.DisconnectNotify():
@@ -139,16 +140,16 @@
 	}
 }
 
-func refuse(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
+func rejectCall(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
 	return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "this side answers no calls"}
 }
 
-// dropIfBroken closes the connection unless the peer answered, this call or another
-// one since it began. A connection on which nothing comes may be cut off silently,
-// and only a new one finds out; one that carries other answers is only slow at this
-// one, and its end would cost all other calls on it.
-func (c *Client) dropIfBroken(conn *link, began time.Time, err error) {
-	if Answered(err) || !disconnected(conn) && conn.heard.since(began) {
+// dropIfBroken closes the connection unless the peer responded to this call or sent
+// other data since the call started. A connection without incoming data may be
+// silently broken, which only a new connection can show. On a connection with
+// incoming data, only this call is slow, and closing it would fail all other calls.
+func (c *Client) dropIfBroken(conn *link, start time.Time, err error) {
+	if Answered(err) || !disconnected(conn) && conn.activity.activeSince(start) {
 		return
 	}
 	c.mu.Lock()
@@ -163,21 +164,21 @@
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dialling = nil
+	c.dialing = nil
 	if c.conn != nil {
 		_ = c.conn.Close()
 		c.conn = nil
 	}
 }
 
-// heardConn knows when something came on a connection last.
-type heardConn struct {
+// activityConn records when data last arrived on a connection.
+type activityConn struct {
 	net.Conn
 	last atomic.Pointer[time.Time]
 }
 
 // Read implements net.Conn.
-func (c *heardConn) Read(data []byte) (int, error) {
+func (c *activityConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	if n > 0 {
 		now := time.Now()
@@ -186,8 +187,8 @@
 	return n, err
 }
 
-// since reports whether anything came after a time.
-func (c *heardConn) since(began time.Time) bool {
+// activeSince reports whether any data arrived after start.
+func (c *activityConn) activeSince(start time.Time) bool {
 	last := c.last.Load()
-	return last != nil && last.After(began)
+	return last != nil && last.After(start)
 }
--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -44,8 +44,8 @@
 	return listener
 }
 
-// One call's time runs out while the peer answers others on the same connection: they must not be lost with it.
-func TestACallWhoseTimeIsUpCostsOtherCallsNothing(t *testing.T) {
+// A call times out while the peer responds to others on the same connection. The other calls must not fail.
+func TestTimedOutCallKeepsConnection(t *testing.T) {
 	slow := make(chan struct{})
 	listener := serve(t, map[string]Handler{
 		"slow": func(ctx context.Context, _ json.RawMessage) (any, error) {
@@ -64,8 +64,8 @@
 	go func() { other <- client.Call(t.Context(), "slow", nil, &reply) }()
 	limited, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	ended := make(chan error, 1)
-	go func() { ended <- client.Call(limited, "slow", nil, nil) }()
+	done := make(chan error, 1)
+	go func() { done <- client.Call(limited, "slow", nil, nil) }()
 	for limited.Err() == nil {
 		var quick string
 		if err := client.Call(t.Context(), "quick", nil, &quick); err != nil {
@@ -73,20 +73,20 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if err := <-ended; err == nil {
-		t.Error("the call that had no time left was answered")
+	if err := <-done; err == nil {
+		t.Error("the call succeeded after its deadline")
 	}
 	close(slow)
 	if err := <-other; err != nil || reply != "late" {
 		t.Errorf("the other call ended with %v and %q", err, reply)
 	}
 	if got := listener.accepted.Load(); got != 1 {
-		t.Errorf("%d connections were opened, one serves all", got)
+		t.Errorf("%d connections were opened, want 1", got)
 	}
 }
 
-// A connection that is cut off silently must be left: nothing comes on it any more, whoever waits.
-func TestAConnectionOnWhichNothingComesIsLeft(t *testing.T) {
+// A silently broken connection must be replaced: no call on it receives a response any more.
+func TestSilentConnectionIsReplaced(t *testing.T) {
 	var silent atomic.Bool
 	silent.Store(true)
 	listener := serve(t, map[string]Handler{"any": func(ctx context.Context, _ json.RawMessage) (any, error) {
@@ -100,19 +100,19 @@
 	limited, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	if err := client.Call(limited, "any", nil, nil); err == nil {
-		t.Fatal("a silent peer has answered")
+		t.Fatal("call to a silent peer succeeded")
 	}
 	silent.Store(false)
 	if err := client.Call(t.Context(), "any", nil, nil); err != nil {
 		t.Error(err)
 	}
 	if got := listener.accepted.Load(); got != 2 {
-		t.Errorf("%d connections were opened, want a second one behind the silent one", got)
+		t.Errorf("%d connections were opened, want 2: the silent one and its replacement", got)
 	}
 }
 
-// A peer stands still and reads nothing. A call to it must end, though its message does not go out.
-func TestACallToAPeerThatReadsNothingEnds(t *testing.T) {
+// A peer hangs and reads nothing. A call to it must end although its message cannot be sent.
+func TestCallToNonReadingPeerEnds(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -123,34 +123,34 @@
 	limited, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	if err := client.Call(limited, "any", strings.Repeat("x", 8<<20), nil); err == nil {
-		t.Error("a peer that reads nothing has answered")
+		t.Error("call to a peer that reads nothing succeeded")
 	}
 }
 
-// A machine is without power while many call it: they share one try at a connection, or each would wait for those of
+// Many calls are made to a machine without power. They must share one dial: otherwise each would wait for the dials of
 // all others before its own.
-func TestCallsToASilentMachineShareOneConnection(t *testing.T) {
-	client := NewClient(silentAddress(t))
+func TestCallsToUnreachableAddressShareDial(t *testing.T) {
+	client := NewClient(unreachableAddress(t))
 	defer client.Close()
 	const calls = 40
-	ended := make(chan error, calls)
-	began := make(chan struct{})
+	done := make(chan error, calls)
+	start := make(chan struct{})
 	for range calls {
 		go func() {
-			<-began
-			ended <- client.Call(t.Context(), "any", nil, nil)
+			<-start
+			done <- client.Call(t.Context(), "any", nil, nil)
 		}()
 	}
-	close(began)
-	tries := make(map[error]bool)
+	close(start)
+	attempts := make(map[error]bool)
 	for range calls {
-		err := <-ended
+		err := <-done
 		if err == nil {
-			t.Fatal("a machine without power has answered")
+			t.Fatal("call to an unreachable address succeeded")
 		}
-		tries[errors.Cause(err)] = true
+		attempts[errors.Cause(err)] = true
 	}
-	if len(tries) > calls/2 {
-		t.Errorf("%d calls made %d tries at a connection", calls, len(tries))
+	if len(attempts) > calls/2 {
+		t.Errorf("%d calls made %d connection attempts", calls, len(attempts))
 	}
 }
--- a/internal/rpc/codec.go
+++ b/internal/rpc/codec.go
@@ -12,33 +12,35 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// MaxFrame bounds one message between processes, in bytes. Without a bound, a
-// stranger could make a process hold whatever length it names.
+// MaxFrame is the maximum size of a message between processes, in bytes. Without a
+// limit, an unauthenticated peer could make a process allocate any length that it
+// declares.
 const MaxFrame = 16 << 20
 
-// maxHeader bounds the header lines of one frame, in bytes.
+// maxHeader is the maximum size of the header of a frame, in bytes.
 const maxHeader = 1 << 10
 
 var headerEnd = []byte("\r\n\r\n")
 
-// errFrameTooLarge means that a frame named a length above MaxFrame.
+// errFrameTooLarge reports that a frame declares a length above MaxFrame.
 var errFrameTooLarge = errors.New("the message is larger than this process accepts")
 
-// boundedCodec is the codec with Content-Length headers, with a bound on what
-// it reads.
+// boundedCodec is the codec with Content-Length headers, with a limit on the size
+// of the frames that it reads.
 type boundedCodec struct {
 	jsonrpc2.VSCodeObjectCodec
 }
 
-// decodesAtOnce bounds the messages that a process decodes at the same time. When many
-// peers speak at once what is left waits unscheduled: signals, timers and the log's
-// heartbeats would otherwise have their turn behind all of it.
-const decodesAtOnce = 4
+// maxConcurrentDecodes is the maximum number of messages that a process decodes at the
+// same time. When many peers send at once, the other messages wait without being
+// scheduled; otherwise signals, timers and the heartbeats of the replicated log
+// would be delayed behind all of them.
+const maxConcurrentDecodes = 4
 
-var decoding = make(chan struct{}, decodesAtOnce)
+var decodeSlots = make(chan struct{}, maxConcurrentDecodes)
 
-// ReadObject implements jsonrpc2.ObjectCodec. It looks at the length before it reads
-// a frame, and holds no more of it than has arrived.
+// ReadObject implements jsonrpc2.ObjectCodec. It checks the declared length before
+// it reads a frame, and buffers only the bytes that have arrived.
 func (boundedCodec) ReadObject(stream *bufio.Reader, v any) error {
 	header, length, err := peekLength(stream)
 	if err != nil {
@@ -54,16 +56,17 @@
 	if _, err := io.CopyN(&frame, stream, int64(length)); err != nil {
 		return err
 	}
-	decoding <- struct{}{}
-	defer func() { <-decoding }()
+	decodeSlots <- struct{}{}
+	defer func() { <-decodeSlots }()
 	return json.Unmarshal(frame.Bytes(), v)
 }
 
-// peekLength finds the size of the header and the Content-Length in it without
-// consuming it.
+// peekLength returns the size of the header and its Content-Length, without
+// consuming the header.
 func peekLength(stream *bufio.Reader) (header int, length uint64, err error) {
 	for size := 1; size <= maxHeader; size++ {
-		// Peek waits for size bytes; a header that is complete needs no more.
+		// Peek blocks until size bytes have arrived, so it must not ask for more than
+		// the header has.
 		peeked, err := stream.Peek(size)
 		if err != nil {
 			return 0, 0, err
--- a/internal/rpc/codec_test.go
+++ b/internal/rpc/codec_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A process that is not ours connects and names a huge length, or sends a
-// header without end. The receiver must hang up before it holds the memory.
+// A foreign process connects and declares a huge length, or sends an endless
+// header. The receiver must close the connection before it allocates the memory.
 func TestFramesAreBounded(t *testing.T) {
 	cases := map[string]struct {
 		frame string
--- a/internal/rpc/connect_test.go
+++ b/internal/rpc/connect_test.go
@@ -9,9 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// silentAddress is one whose connections never open, as those to a machine without power: the queue of a listener
-// that accepts nothing is full.
-func silentAddress(t *testing.T) string {
+// unreachableAddress returns an address to which connections never open, as with a machine without power: the backlog
+// of its listener, which accepts nothing, is full.
+func unreachableAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	if err != nil {
@@ -36,17 +36,17 @@
 		}
 		t.Cleanup(func() { _ = conn.Close() })
 	}
-	t.Fatal("the listener's queue does not fill")
+	t.Fatal("the listener's backlog does not fill")
 	return ""
 }
 
-// A machine loses power. A call there must end long before its caller's own limit: all other calls to the machine
+// A machine loses power. A call to it must end long before the deadline of its caller: all other calls to the machine
 // wait for the same connection.
-func TestAConnectionThatNeverOpensIsGivenUp(t *testing.T) {
-	client := NewClient(silentAddress(t))
+func TestConnectTimesOut(t *testing.T) {
+	client := NewClient(unreachableAddress(t))
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	if err := client.Call(ctx, "any", nil, nil); err == nil || ctx.Err() != nil {
-		t.Errorf("the call ended with %v, its caller's limit with %v", err, ctx.Err())
+		t.Errorf("the call ended with %v, the caller's context with %v", err, ctx.Err())
 	}
 }
--- a/internal/rpc/count.go
+++ b/internal/rpc/count.go
@@ -7,22 +7,22 @@
 	"github.com/rosemarypass/rosemarypass/internal/telemetry"
 )
 
-// What control costs a process on the wire, without the overhead of TCP.
+// Bytes of control traffic of the process, without the overhead of TCP.
 var (
 	sentBytes     = telemetry.Counter("rpc_bytes_sent")
 	receivedBytes = telemetry.Counter("rpc_bytes_received")
 )
 
 const (
-	// writeTimeout bounds one write of at most writeBytes. A peer that stands still
-	// reads nothing; all that is to be sent on the connection waits behind the write,
-	// whatever its own limit.
-	writeTimeout = time.Second
-	writeBytes   = 64 << 10
+	// writeTimeout bounds the write of one chunk of at most maxChunkBytes. A hanging
+	// peer reads nothing, and all further messages on the connection wait for the
+	// write regardless of their own deadlines.
+	writeTimeout  = time.Second
+	maxChunkBytes = 64 << 10
 )
 
-// countedConn counts the bytes of a connection, and gives up one whose peer takes
-// nothing.
+// countedConn counts the bytes of a connection, and closes it if its peer stops
+// reading.
 type countedConn struct{ net.Conn }
 
 // Read implements net.Conn.
@@ -32,12 +32,12 @@
 	return n, err
 }
 
-// Write implements net.Conn. What follows a message that was sent in part could not
-// be read: such a connection is closed.
+// Write implements net.Conn. It closes the connection on an error: the peer could
+// not parse anything that follows a partly sent message.
 func (c countedConn) Write(data []byte) (int, error) {
 	written := 0
 	for written < len(data) {
-		n, err := c.writePart(data[written:min(len(data), written+writeBytes)])
+		n, err := c.writeChunk(data[written:min(len(data), written+maxChunkBytes)])
 		written += n
 		if err != nil {
 			_ = c.Close()
@@ -47,7 +47,7 @@
 	return written, nil
 }
 
-func (c countedConn) writePart(data []byte) (int, error) {
+func (c countedConn) writeChunk(data []byte) (int, error) {
 	if err := c.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
 	}
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -16,10 +16,11 @@
 )
 
 const (
-	// maxConns is the most connections that one server answers. The size to
-	// design for has under a thousand daemons and agents, with a few each.
+	// maxConns is the maximum number of connections per server. The design size is
+	// under a thousand daemons and agents with a few connections each.
 	maxConns = 8192
-	// handshakeTimeout bounds the time until a peer has shown its certificate.
+	// handshakeTimeout bounds the TLS handshake, in which the peer presents its
+	// certificate.
 	handshakeTimeout = 5 * time.Second
 )
 
@@ -29,10 +30,10 @@
 	streamErrorCount     = telemetry.Counter("rpc_stream_errors")
 )
 
-// Handler answers one method. The returned value is sent as the result.
+// Handler handles calls of one method. The returned value is sent as the result.
 type Handler func(ctx context.Context, params json.RawMessage) (any, error)
 
-// Typed adapts a function over typed messages to a Handler.
+// Typed adapts a function with typed parameters and result to a Handler.
 func Typed[In, Out any](f func(context.Context, In) (Out, error)) Handler {
 	return func(ctx context.Context, params json.RawMessage) (any, error) {
 		var in In
@@ -43,7 +44,7 @@
 	}
 }
 
-// Server answers calls on every connection of a listener.
+// Server serves calls on all connections of a listener.
 type Server struct {
 	handlers map[string]Handler
 	mu       sync.Mutex
@@ -67,9 +68,9 @@
 	}
 }
 
-// admit secures a connection before it is listened to. A stranger that connects
-// and shows no certificate, or nothing at all, is hung up on in bounded time;
-// one would notice it by rpc_handshakes_failed.
+// admit completes the TLS handshake before the connection is served. A connection
+// whose peer presents no valid certificate, or sends nothing, is closed within
+// handshakeTimeout and counted in rpc_handshakes_failed.
 func (s *Server) admit(ctx context.Context, conn net.Conn) {
 	if err := handshake(ctx, conn); err != nil {
 		handshakeFailedCount.Add(1)
@@ -92,7 +93,8 @@
 	return secure.HandshakeContext(ctx)
 }
 
-// attach begins to answer a connection, unless the server is closed or full.
+// attach starts serving a connection and reports whether it did. It does not if the
+// server is closed or has maxConns connections.
 func (s *Server) attach(ctx context.Context, conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,19 +102,20 @@
 		return false
 	}
 	handler := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(s.dispatch))
-	rpc := jsonrpc2.NewConn(ctx, newStream(conn), handler, jsonrpc2.SetLogger(streamErrors{}))
+	rpc := jsonrpc2.NewConn(ctx, newStream(conn), handler, jsonrpc2.SetLogger(streamErrorCounter{}))
 	s.conns[rpc] = struct{}{}
-	go s.forget(rpc)
+	go s.removeOnDisconnect(rpc)
 	return true
 }
 
-// streamErrors counts what the library would print: any stranger can cause it.
-type streamErrors struct{}
+// streamErrorCounter counts the errors that the library would log, because any
+// unauthenticated peer can cause them.
+type streamErrorCounter struct{}
 
 // Printf implements jsonrpc2.Logger.
-func (streamErrors) Printf(string, ...any) { streamErrorCount.Add(1) }
+func (streamErrorCounter) Printf(string, ...any) { streamErrorCount.Add(1) }
 
-func (s *Server) forget(rpc *jsonrpc2.Conn) {
+func (s *Server) removeOnDisconnect(rpc *jsonrpc2.Conn) {
 	<-rpc.DisconnectNotify()
 	s.mu.Lock()
 	defer s.mu.Unlock()
