--- a/internal/telemetry/latency.go
+++ b/internal/telemetry/latency.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// longestLatency is the largest value that a histogram tells apart.
-	longestLatency = time.Minute
-	// latencyDigits is the precision of a histogram in decimal digits: a
-	// percentile is right to 10%.
-	latencyDigits = 1
+	// maxLatency is the largest value that a histogram records.
+	maxLatency = time.Minute
+	// latencySignificantDigits is the precision of a histogram in significant decimal
+	// digits: percentiles are accurate to within 10%.
+	latencySignificantDigits = 1
 )
 
 // Latency is a histogram of durations, published as an expvar with its count
@@ -24,34 +24,34 @@
 	hist *hdrhistogram.Histogram
 }
 
-// LatencyOf returns the histogram of that name, creating it on first use.
+// LatencyOf returns the histogram with the given name, creating it on first use.
 func LatencyOf(name string) *Latency {
 	countersMu.Lock()
 	defer countersMu.Unlock()
 	if existing, ok := expvar.Get(name).(*Latency); ok {
 		return existing
 	}
-	l := &Latency{hist: hdrhistogram.New(1, longestLatency.Microseconds(), latencyDigits)}
+	l := &Latency{hist: hdrhistogram.New(1, maxLatency.Microseconds(), latencySignificantDigits)}
 	expvar.Publish(name, l)
 	return l
 }
 
-// Record adds a duration; longer ones than the histogram tells apart count as
-// the longest.
+// Record adds a duration to the histogram. Durations above maxLatency are recorded
+// as maxLatency.
 func (l *Latency) Record(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// The value is within the range, so that no error can come.
-	_ = l.hist.RecordValue(min(max(d, time.Microsecond), longestLatency).Microseconds())
+	// The value is clamped to the range, so RecordValue cannot fail.
+	_ = l.hist.RecordValue(min(max(d, time.Microsecond), maxLatency).Microseconds())
 }
 
 // String implements expvar.Var.
 func (l *Latency) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at := func(q float64) float64 { return float64(l.hist.ValueAtQuantile(q)) / 1000 }
+	percentile := func(q float64) float64 { return float64(l.hist.ValueAtQuantile(q)) / 1000 }
 	return jsonObject(map[string]float64{
-		"count": float64(l.hist.TotalCount()), "p50": at(50), "p95": at(95), "p99": at(99), "max": float64(l.hist.Max()) / 1000,
+		"count": float64(l.hist.TotalCount()), "p50": percentile(50), "p95": percentile(95), "p99": percentile(99), "max": float64(l.hist.Max()) / 1000,
 	})
 }
 
--- a/internal/telemetry/latency_test.go
+++ b/internal/telemetry/latency_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-func TestAHistogramTellsItsPercentiles(t *testing.T) {
+func TestLatencyPercentiles(t *testing.T) {
 	l := LatencyOf("test_latency")
 	for i := 1; i <= 100; i++ {
 		l.Record(time.Duration(i) * time.Millisecond)
 	}
-	l.Record(2 * longestLatency)
+	l.Record(2 * maxLatency)
 	var got struct{ Count, P50, P99, Max float64 }
 	if err := json.Unmarshal([]byte(l.String()), &got); err != nil {
 		t.Fatal(err)
@@ -20,6 +20,6 @@
 		t.Errorf("got %+v", got)
 	}
 	if LatencyOf("test_latency") != l {
-		t.Error("a second histogram of the name was made")
+		t.Error("LatencyOf created a second histogram for the same name")
 	}
 }
--- a/internal/telemetry/linewriter.go
+++ b/internal/telemetry/linewriter.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// linesWaiting bounds the lines that wait for a reader that has fallen behind;
-	// further ones are dropped and counted.
-	linesWaiting = 1024
-	// batchBytes bounds one write of lines that have come together.
+	// maxQueuedLines is the maximum number of lines that wait for a slow reader;
+	// further lines are dropped and counted.
+	maxQueuedLines = 1024
+	// batchBytes is the size, in bytes, at which a batch of lines is written even if
+	// more lines are queued.
 	batchBytes = 32 << 10
-	// syncTimeout bounds the wait until all lines are written.
+	// syncTimeout is how long Sync waits until all lines are written.
 	syncTimeout = 200 * time.Millisecond
 )
 
-// errLinesWait means that the reader of the lines takes none.
-var errLinesWait = errors.New("some lines are not written yet")
+// errSyncTimeout reports that the output did not accept all lines in time.
+var errSyncTimeout = errors.New("sync timed out: some lines are not written yet")
 
-// lineWriter writes lines beside those who log them: a reader that stands still
-// must not hold up requests, heartbeats or the end of the process.
+// lineWriter writes lines in a separate goroutine: a blocked reader of the output
+// must not delay requests, heartbeats or the exit of the process.
 type lineWriter struct {
 	out     io.Writer
 	lines   chan []byte
@@ -32,12 +33,12 @@
 }
 
 func newLineWriter(out io.Writer, dropped *expvar.Int) *lineWriter {
-	w := &lineWriter{out: out, lines: make(chan []byte, linesWaiting), syncs: make(chan chan<- struct{}), dropped: dropped}
+	w := &lineWriter{out: out, lines: make(chan []byte, maxQueuedLines), syncs: make(chan chan<- struct{}), dropped: dropped}
 	go w.run()
 	return w
 }
 
-// Write implements zapcore.WriteSyncer.
+// Write implements zapcore.WriteSyncer. It never blocks.
 func (w *lineWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- bytes.Clone(line):
@@ -47,8 +48,8 @@
 	return len(line), nil
 }
 
-// Sync implements zapcore.WriteSyncer. It returns once all lines so far are written,
-// or after a while.
+// Sync implements zapcore.WriteSyncer. It returns once all lines queued so far are
+// written, or with an error after syncTimeout.
 func (w *lineWriter) Sync() error {
 	timeout := time.NewTimer(syncTimeout)
 	defer timeout.Stop()
@@ -56,17 +57,17 @@
 	select {
 	case w.syncs <- done:
 	case <-timeout.C:
-		return errLinesWait
+		return errSyncTimeout
 	}
 	select {
 	case <-done:
 		return nil
 	case <-timeout.C:
-		return errLinesWait
+		return errSyncTimeout
 	}
 }
 
-// run writes lines until the ring is closed.
+// run writes lines until the channel of lines is closed.
 func (w *lineWriter) run() {
 	for {
 		select {
@@ -84,8 +85,8 @@
 	}
 }
 
-// write writes a line and those that have come behind it. There is nobody to tell of
-// an error.
+// write writes a line together with the lines queued after it. Errors are ignored
+// because there is nowhere to report them.
 func (w *lineWriter) write(line []byte) {
 	for len(line) < batchBytes && len(w.lines) > 0 {
 		line = append(line, <-w.lines...)
--- a/internal/telemetry/linewriter_test.go
+++ b/internal/telemetry/linewriter_test.go
@@ -8,39 +8,39 @@
 	"testing/synctest"
 )
 
-// stuckWriter stands still until it is let go.
-type stuckWriter struct {
+// blockedWriter blocks writes until release is closed.
+type blockedWriter struct {
 	bytes.Buffer
-	free chan struct{}
+	release chan struct{}
 }
 
 // Write implements io.Writer.
-func (w *stuckWriter) Write(data []byte) (int, error) {
-	<-w.free
+func (w *blockedWriter) Write(data []byte) (int, error) {
+	<-w.release
 	return w.Buffer.Write(data)
 }
 
-// Whoever reads the lines stands still. Those who log must go on, and what is lost must be counted.
-func TestAReaderOfLinesThatStandsStillHoldsNobodyUp(t *testing.T) {
+// The reader of the log output hangs. Logging must not block, and dropped lines must be counted.
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stuckWriter{free: make(chan struct{})}
+		out := &blockedWriter{release: make(chan struct{})}
 		var dropped expvar.Int
 		w := newLineWriter(out, &dropped)
-		const lines = 3 * linesWaiting
+		const lines = 3 * maxQueuedLines
 		for i := range lines {
 			if _, err := fmt.Fprintf(w, "line %d\n", i); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if err := w.Sync(); err == nil {
-			t.Error("all lines are said to be written")
+			t.Error("Sync returned no error although the output is blocked")
 		}
-		close(out.free)
+		close(out.release)
 		if err := w.Sync(); err != nil {
 			t.Error(err)
 		}
 		written := bytes.Count(out.Bytes(), []byte("\n"))
-		if written+int(dropped.Value()) != lines || written < linesWaiting {
+		if written+int(dropped.Value()) != lines || written < maxQueuedLines {
 			t.Errorf("%d lines were written and %d counted as dropped, of %d", written, dropped.Value(), lines)
 		}
 		close(w.lines)
--- a/internal/telemetry/span.go
+++ b/internal/telemetry/span.go
@@ -9,7 +9,7 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Span names, one for each hop of a request.
+// Names of the spans of a request, one for each hop or step.
 const (
 	SpanEntryRequest = "entry.request"
 	SpanEntryAttempt = "entry.attempt"
@@ -28,8 +28,8 @@
 	AttributeRequest = attribute.Key("rosemarypass.request_id")
 )
 
-// StartServer starts the span of a hop that took a request, below the span
-// that its W3C context names.
+// StartServer starts the span of a hop that received a request, as a child of the
+// span in the request's W3C trace context.
 func StartServer(r *http.Request, name string) (context.Context, trace.Span) {
 	ctx := Propagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	return Tracer().Start(ctx, name, trace.WithSpanKind(trace.SpanKindServer))
@@ -40,7 +40,7 @@
 	return Tracer().Start(ctx, name, trace.WithSpanKind(trace.SpanKindClient))
 }
 
-// Inject writes the W3C context of ctx to the headers of a call.
+// Inject writes the W3C trace context of ctx to the headers of a call.
 func Inject(ctx context.Context, header http.Header) {
 	Propagator().Inject(ctx, propagation.HeaderCarrier(header))
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -19,7 +19,7 @@
 	"go.uber.org/zap"
 )
 
-// TraceTarget says where spans go.
+// TraceTarget selects where spans are written.
 type TraceTarget string
 
 const (
@@ -29,7 +29,7 @@
 	TraceStdout TraceTarget = "stdout"
 	// TraceFile appends spans to a file.
 	TraceFile TraceTarget = "file"
-	// TraceOTLP sends spans to a collector by OTLP over HTTP.
+	// TraceOTLP exports spans to a collector with OTLP over HTTP.
 	TraceOTLP TraceTarget = "otlp"
 )
 
@@ -40,17 +40,17 @@
 	Path string
 	// Endpoint is the collector's URL for TraceOTLP.
 	Endpoint string
-	// Instance is reported as the service instance.
+	// Instance is the service instance ID of the spans.
 	Instance string
-	// Share is the share of requests without a sampling decision of their own
-	// that are traced, from 0 to 1; 0 stands for 1.
+	// Share is the fraction of requests without an incoming sampling decision that
+	// are traced, from 0 to 1; 0 means 1.
 	Share float64
 }
 
-// Tracer is the tracer that every hop uses.
+// Tracer returns the tracer that all hops use.
 func Tracer() trace.Tracer { return otel.Tracer("rosemarypass") }
 
-// Propagator reads and writes the W3C trace context.
+// Propagator returns the propagator, which reads and writes the W3C trace context.
 func Propagator() propagation.TextMapPropagator { return propagation.TraceContext{} }
 
 // StartTraces installs the global tracer provider. The returned function
@@ -75,8 +75,8 @@
 	return provider.Shutdown, nil
 }
 
-// sampler keeps the decision that came with a request and decides by share for
-// the others.
+// sampler returns a sampler that follows the sampling decision of the incoming
+// request, and samples requests without one with probability share.
 func sampler(share float64) sdktrace.Sampler {
 	if share == 0 {
 		share = 1
@@ -112,8 +112,8 @@
 	return logger.With(zap.String("instance", instance)), nil
 }
 
-// Cause is the field for an error's text. zap.Error would add the stack of
-// errors that carry one, some thousand bytes a line.
+// Cause returns a log field with the text of an error. zap.Error would add the
+// stack trace of errors that have one, on the order of a thousand bytes per line.
 func Cause(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
@@ -121,12 +121,12 @@
 	return zap.String("cause", err.Error())
 }
 
-// countersMu makes look-up and creation one step: expvar ends the process when
-// a name is published twice.
+// countersMu makes lookup and creation atomic: expvar terminates the process if a
+// name is published twice.
 var countersMu sync.Mutex
 
-// Counter returns the expvar counter of that name, creating it on first use.
-// Several roles in one process, as in the demo, share a counter.
+// Counter returns the expvar counter with the given name, creating it on first
+// use. Several roles in one process, as in the demo, share a counter.
 func Counter(name string) *expvar.Int {
 	countersMu.Lock()
 	defer countersMu.Unlock()
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -14,7 +14,7 @@
 	"github.com/rosemarypass/rosemarypass/internal/telemetry"
 )
 
-func TestSpansReachTheirTarget(t *testing.T) {
+func TestSpansAreExported(t *testing.T) {
 	var received atomic.Int64
 	collector := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/traces" {
@@ -40,9 +40,9 @@
 		}
 	}
 	if data, err := os.ReadFile(file); err != nil || !strings.Contains(string(data), `"Name":"hop"`) {
-		t.Errorf("the file holds %q, %v", data, err)
+		t.Errorf("trace file contains %q, %v", data, err)
 	}
 	if received.Load() == 0 {
-		t.Error("the collector received nothing")
+		t.Error("the collector received no spans")
 	}
 }
