--- a/internal/peertls/peertls.go
+++ b/internal/peertls/peertls.go
@@ -1,6 +1,6 @@
-// Package peertls secures traffic between the system's own processes: both
-// sides show certificates of one private authority, and the files are read
-// again when they change, so that renewal needs no restart.
+// Package peertls secures traffic between the system's own processes with mutual
+// TLS: both sides present certificates of one private certificate authority. The
+// files are reloaded when they change, so that a renewal needs no restart.
 package peertls
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/rosemarypass/rosemarypass/internal/telemetry"
 )
 
-// reloadInterval is the least time between two looks at the files.
+// reloadInterval is the minimum interval between two checks of the files.
 const reloadInterval = time.Second
 
 var (
@@ -25,27 +25,27 @@
 	failureCount = telemetry.Counter("peer_tls_reload_failures")
 )
 
-// Files name PEM files.
+// Files holds the paths of PEM files.
 type Files struct {
-	// Certificate is the instance's chain, Key its private key.
+	// Certificate is the instance's certificate chain, Key its private key.
 	Certificate string
 	Key         string
-	// Authority holds the certificates of the signing authority.
+	// Authority contains the certificates of the signing authority.
 	Authority string
 }
 
-func (f Files) all() []string { return []string{f.Certificate, f.Key, f.Authority} }
+func (f Files) paths() []string { return []string{f.Certificate, f.Key, f.Authority} }
 
-// Identity is one instance's certificate and the authority it trusts. A nil
-// Identity stands for plaintext.
+// Identity is the certificate of an instance and the authority that it trusts. A
+// nil Identity means plaintext.
 type Identity struct {
 	files Files
 	now   func() time.Time
 
-	mu       sync.Mutex
-	current  material
-	modified []time.Time
-	looked   time.Time
+	mu        sync.Mutex
+	current   material
+	modified  []time.Time
+	checkedAt time.Time
 }
 
 type material struct {
@@ -53,7 +53,7 @@
 	authority   *x509.CertPool
 }
 
-// Load reads the files. It fails when one is missing or does not parse.
+// Load reads the files. It fails if one is missing or cannot be parsed.
 func Load(files Files) (*Identity, error) {
 	i := &Identity{files: files, now: time.Now}
 	modified, err := modificationTimes(files)
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, err
 	}
-	i.modified, i.looked = modified, i.now()
+	i.modified, i.checkedAt = modified, i.now()
 	return i, nil
 }
 
@@ -86,7 +86,7 @@
 
 func modificationTimes(files Files) ([]time.Time, error) {
 	var times []time.Time
-	for _, file := range files.all() {
+	for _, file := range files.paths() {
 		info, err := os.Stat(file)
 		if err != nil {
 			return nil, errors.Wrap(err, "peer TLS file")
@@ -96,17 +96,17 @@
 	return times, nil
 }
 
-// latest returns the material of the newest readable files. Files that are
-// being replaced may not fit together for a moment; the last good material
-// serves until they do, so that a renewal cannot cut the instance off.
+// latest returns the material of the latest valid files. While files are being
+// replaced they may be inconsistent; the last valid material is used until they
+// are consistent, so that a renewal cannot disconnect the instance.
 func (i *Identity) latest() material {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	now := i.now()
-	if now.Sub(i.looked) < reloadInterval {
+	if now.Sub(i.checkedAt) < reloadInterval {
 		return i.current
 	}
-	i.looked = now
+	i.checkedAt = now
 	modified, err := modificationTimes(i.files)
 	if err != nil {
 		failureCount.Add(1)
@@ -134,7 +134,8 @@
 	return true
 }
 
-// ServerConfig demands a certificate of the authority from every caller.
+// ServerConfig returns a server configuration that requires a client certificate
+// of the authority.
 func (i *Identity) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -150,8 +151,8 @@
 	}
 }
 
-// PublicConfig shows the instance's certificate and asks callers for none, for
-// listeners whose callers carry keys.
+// PublicConfig returns a server configuration that requires no client certificate,
+// for listeners that authenticate callers by key.
 func (i *Identity) PublicConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -162,7 +163,8 @@
 	}
 }
 
-// ListenPublic wraps a listener with PublicConfig; a nil Identity returns it unchanged.
+// ListenPublic wraps a listener with TLS by PublicConfig; a nil Identity returns it
+// unchanged.
 func (i *Identity) ListenPublic(listener net.Listener) net.Listener {
 	if i == nil {
 		return listener
@@ -170,7 +172,8 @@
 	return tls.NewListener(listener, i.PublicConfig())
 }
 
-// Listen wraps a listener; a nil Identity returns it unchanged.
+// Listen wraps a listener with TLS by ServerConfig; a nil Identity returns it
+// unchanged.
 func (i *Identity) Listen(listener net.Listener) net.Listener {
 	if i == nil {
 		return listener
@@ -191,8 +194,8 @@
 	return i.Secure(ctx, conn, address)
 }
 
-// Secure completes the handshake with the peer at address on a connection that
-// is open. It closes the connection when the handshake fails.
+// Secure performs the TLS handshake with the peer at address on an open
+// connection. It closes the connection if the handshake fails.
 func (i *Identity) Secure(ctx context.Context, conn net.Conn, address string) (*tls.Conn, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -213,7 +216,7 @@
 	return secure, nil
 }
 
-// Scheme is the URL scheme for HTTP between the system's processes.
+// Scheme returns the URL scheme for HTTP between the system's processes.
 func (i *Identity) Scheme() string {
 	if i == nil {
 		return "http"
--- a/internal/peertls/peertls_test.go
+++ b/internal/peertls/peertls_test.go
@@ -21,7 +21,8 @@
 	return authority
 }
 
-// writeFiles writes an instance's files, signed by signer and trusting trusted.
+// writeFiles writes the files of an instance with a certificate signed by signer
+// and trusted as its authority.
 func writeFiles(t *testing.T, folder string, signer, trusted pki.Pair, addresses []net.IP) Files {
 	t.Helper()
 	pair, err := pki.Issue(signer, "instance", addresses, time.Now(), time.Hour)
@@ -55,8 +56,8 @@
 	return identity
 }
 
-// exchange dials the server's identity and moves one byte each way, so that
-// both sides have finished the handshake and judged the other.
+// exchange connects client to server and sends data in both directions, so that
+// both sides have completed the handshake and verified their peer.
 func exchange(t *testing.T, server, client *Identity) error {
 	t.Helper()
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
@@ -81,8 +82,8 @@
 		return err
 	}
 	defer conn.Close()
-	// Five bytes are a whole TLS record header, so that a server that expects
-	// TLS judges a client that speaks none instead of waiting for more.
+	// Five bytes are a complete TLS record header, so that a server that expects
+	// TLS rejects a plaintext client instead of waiting for more bytes.
 	if _, err := conn.Write([]byte("plain")); err != nil {
 		return err
 	}
@@ -90,7 +91,7 @@
 	return err
 }
 
-func TestOnlyTheAuthoritysInstancesTalk(t *testing.T) {
+func TestMutualAuthentication(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	other := []net.IP{net.IPv4(127, 0, 0, 2)}
 	member := load(t, writeFiles(t, t.TempDir(), ours, ours, loopback))
@@ -99,7 +100,7 @@
 		server, client *Identity
 		allowed        bool
 	}{
-		{"both ours", member, member, true},
+		{"both of the same authority", member, member, true},
 		{"plaintext on both sides", nil, nil, true},
 		{"client of another authority", member, load(t, writeFiles(t, t.TempDir(), theirs, ours, loopback)), false},
 		{"server of another authority", load(t, writeFiles(t, t.TempDir(), theirs, ours, loopback)), member, false},
@@ -114,10 +115,10 @@
 	}
 }
 
-// The files are replaced while the daemon runs: first half of them, then all.
-// With a daemon that read the half, every peer would refuse it until the rest
-// arrived; the user would see the instance cut off by its own renewal.
-func TestRenewalServesOldFilesUntilNewOnesFit(t *testing.T) {
+// The files are replaced while the daemon runs: first some of them, then all. If
+// the daemon used the incomplete set, every peer would reject it until the rest
+// arrived, and a renewal would disconnect the instance.
+func TestPartialRenewalKeepsOldCertificate(t *testing.T) {
 	old, renewed := newAuthority(t), newAuthority(t)
 	folder := t.TempDir()
 	server := load(t, writeFiles(t, folder, old, old, loopback))
@@ -133,11 +134,11 @@
 	}
 	now = now.Add(2 * reloadInterval)
 	if err := exchange(t, server, oldClient); err != nil {
-		t.Errorf("with half the files: %v", err)
+		t.Errorf("with partly replaced files: %v", err)
 	}
 
 	files := writeFiles(t, folder, renewed, renewed, loopback)
-	for _, file := range files.all() {
+	for _, file := range files.paths() {
 		if err := os.Chtimes(file, later, later); err != nil {
 			t.Fatal(err)
 		}
