--- a/internal/pki/pki.go
+++ b/internal/pki/pki.go
@@ -1,5 +1,5 @@
-// Package pki makes the private authority of a deployment and the certificates
-// that it signs for instances.
+// Package pki creates the private certificate authority of a deployment and the
+// certificates that it signs for instances.
 package pki
 
 import (
@@ -16,19 +16,19 @@
 	"github.com/pkg/errors"
 )
 
-// clockSkew is how far a certificate is dated back, for instances whose clock
-// is behind.
+// clockSkew is how far NotBefore of a certificate is set back, for instances with
+// a slow clock.
 const clockSkew = 5 * time.Minute
 
 const serialBits = 128
 
-// Pair is a certificate and its private key in PEM.
+// Pair is a certificate and its private key, both PEM-encoded.
 type Pair struct {
 	Certificate []byte
 	Key         []byte
 }
 
-// NewAuthority makes a self-signed authority.
+// NewAuthority creates a self-signed certificate authority.
 func NewAuthority(name string, now time.Time, validity time.Duration) (Pair, error) {
 	template, err := newTemplate(name, now, validity)
 	if err != nil {
@@ -45,8 +45,8 @@
 	return sign(template, template, key, key)
 }
 
-// Issue makes a certificate for an instance, valid for both sides of a
-// connection and for the given IP numbers only.
+// Issue creates a certificate for an instance, for use as server and as client
+// certificate and valid only for the given IP addresses.
 func Issue(authority Pair, instance string, addresses []net.IP, now time.Time, validity time.Duration) (Pair, error) {
 	if len(addresses) == 0 {
 		return Pair{}, errors.New("an instance's certificate needs at least one IP number")
