--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -1,5 +1,5 @@
-// Package drain counts the requests of a role, so that a planned stop can
-// refuse new ones and wait for the others.
+// Package drain counts the in-flight requests of a role, so that a graceful
+// shutdown can reject new requests and wait for the others.
 package drain
 
 import (
@@ -7,15 +7,15 @@
 	"sync"
 )
 
-// Gate admits requests until it is closed. A WaitGroup and a flag would not
-// do: a request could pass the flag and be counted only after the wait ended,
-// and the stop would cut it off.
+// Gate admits requests until it is closed. A WaitGroup and a flag are not enough:
+// a request could pass the check of the flag and be counted only after the wait
+// ended, and the shutdown would interrupt it.
 type Gate struct {
 	mu       sync.Mutex
 	inFlight int
 	closed   bool
-	// idle is closed, and signalled set, when nothing is in flight after
-	// the gate was closed.
+	// idle is closed, and signalled is set, when the gate is closed and no request
+	// is in flight.
 	idle      chan struct{}
 	signalled bool
 }
@@ -23,7 +23,7 @@
 // NewGate returns an open gate.
 func NewGate() *Gate { return &Gate{idle: make(chan struct{})} }
 
-// Enter counts a request in, or returns false when the gate is closed.
+// Enter admits and counts a request. It returns false if the gate is closed.
 func (g *Gate) Enter() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -34,7 +34,7 @@
 	return true
 }
 
-// Join counts in work on a request that was admitted before, also when the
+// Join counts further work on a request that was already admitted, even if the
 // gate is closed.
 func (g *Gate) Join() {
 	g.mu.Lock()
@@ -42,15 +42,15 @@
 	g.inFlight++
 }
 
-// Leave counts a request out.
+// Leave marks a request counted by Enter or Join as finished.
 func (g *Gate) Leave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inFlight--
-	g.signal()
+	g.signalIfIdle()
 }
 
-// Close refuses requests from now on. It may be called more than once.
+// Close makes the gate reject new requests. It may be called more than once.
 func (g *Gate) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -58,32 +58,32 @@
 		return
 	}
 	g.closed = true
-	g.signal()
+	g.signalIfIdle()
 }
 
-func (g *Gate) signal() {
+func (g *Gate) signalIfIdle() {
 	if g.closed && g.inFlight == 0 && !g.signalled {
 		g.signalled = true
 		close(g.idle)
 	}
 }
 
-// Closed reports whether the gate refuses requests.
+// Closed reports whether the gate rejects new requests.
 func (g *Gate) Closed() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.closed
 }
 
-// InFlight counts the requests that entered and have not left.
+// InFlight returns the number of requests in flight.
 func (g *Gate) InFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.inFlight
 }
 
-// Wait closes the gate, returns when nothing is in flight or ctx ends, and
-// says how many requests are left.
+// Wait closes the gate and waits until no request is in flight or ctx ends. It
+// returns the number of requests still in flight.
 func (g *Gate) Wait(ctx context.Context) int {
 	g.Close()
 	select {
