--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback finds addresses on this machine for processes whose peers
-// must know them before they listen, as in the demo and in tests.
+// Package loopback finds free loopback addresses for processes whose address must
+// be known to peers before they listen, as in the demo and in tests.
 package loopback
 
 import (
@@ -10,18 +10,18 @@
 	"github.com/pkg/errors"
 )
 
-// Ports are drawn below the range that the system gives to outgoing
-// connections. A port of that range could go to any connection between the
-// moment when it was found free and the listener's start, and the listener
-// would fail with "address already in use".
+// Ports are chosen at random below the ephemeral port range of the system. An
+// ephemeral port could be assigned to an outgoing connection between the check
+// that it is free and the start of the listener, which would then fail with
+// "address already in use".
 const (
 	firstPort = 12_000
 	lastPort  = 32_000
-	// tries bounds the search for one address.
-	tries = 1000
+	// maxAttempts is the maximum number of ports tried for one address.
+	maxAttempts = 1000
 )
 
-// Addresses returns n different addresses on which nothing listens.
+// Addresses returns n distinct loopback addresses that are free.
 func Addresses(n int) ([]string, error) {
 	var listeners []net.Listener
 	defer func() {
@@ -42,12 +42,12 @@
 }
 
 func listen() (net.Listener, error) {
-	for range tries {
+	for range maxAttempts {
 		port := firstPort + rand.IntN(lastPort-firstPort)
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if err == nil {
 			return listener, nil
 		}
 	}
-	return nil, errors.New("no port on loopback is free")
+	return nil, errors.New("found no free port on the loopback interface")
 }
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -10,7 +10,7 @@
 	"github.com/rosemarypass/rosemarypass/internal/loopback"
 )
 
-func TestAddressesAreDifferentAndFree(t *testing.T) {
+func TestAddressesAreDistinctAndFree(t *testing.T) {
 	addresses, err := loopback.Addresses(50)
 	if err != nil {
 		t.Fatal(err)
@@ -24,18 +24,18 @@
 	}
 }
 
-// An address that is held refuses connections, and nobody else can listen there.
-func TestAHeldAddressRefuses(t *testing.T) {
+// A held address refuses connections, and no other listener can bind to it.
+func TestRefuserRefusesConnections(t *testing.T) {
 	held, err := loopback.Refuse()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer held.Close()
 	if _, err := net.Dial("tcp", held.Address()); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("a connection to %s: %v", held.Address(), err)
+		t.Errorf("dial %s: got %v, want ECONNREFUSED", held.Address(), err)
 	}
 	if listener, err := net.Listen("tcp", held.Address()); err == nil {
 		_ = listener.Close()
-		t.Errorf("%s could be listened on while it was held", held.Address())
+		t.Errorf("another listener could bind to %s while it was held", held.Address())
 	}
 }
--- a/internal/loopback/refuse.go
+++ b/internal/loopback/refuse.go
@@ -7,15 +7,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Refuser is an address on this machine that refuses connections for as long as
-// it is held. The address of a listener that was closed may go to another
-// process at once, which would take the connection.
+// Refuser holds a loopback address that refuses connections until Close. The
+// address of a closed listener could be reassigned immediately to another process,
+// which would accept the connection.
 type Refuser struct {
 	socket  int
 	address string
 }
 
-// Refuse holds an address.
+// Refuse binds a loopback address without listening on it.
 func Refuse() (*Refuser, error) {
 	socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -28,14 +28,14 @@
 	name, err := unix.Getsockname(socket)
 	if err != nil {
 		_ = unix.Close(socket)
-		return nil, errors.Wrap(err, "read the socket's address")
+		return nil, errors.Wrap(err, "get socket address")
 	}
 	bound := name.(*unix.SockaddrInet4)
 	return &Refuser{socket: socket, address: netip.AddrPortFrom(netip.AddrFrom4(bound.Addr), uint16(bound.Port)).String()}, nil
 }
 
-// Address is the address that is held.
+// Address returns the held address.
 func (r *Refuser) Address() string { return r.address }
 
-// Close lets the address go.
+// Close releases the address.
 func (r *Refuser) Close() error { return unix.Close(r.socket) }
