--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait pauses a duty without holding up its end.
+// Package wait pauses a goroutine without delaying its cancellation.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For returns after d, or with the context's error as soon as ctx ends.
+// For returns nil after d, or the context's error as soon as ctx ends.
 func For(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
