--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -74,8 +74,8 @@
 
 // Accepted returns the answer with a timeout for writing its header, each piece
 // and its end to the caller.
-func (a Answer) Accepted(within time.Duration) Answer {
-	a.writeTimeout = within
+func (a Answer) Accepted(timeout time.Duration) Answer {
+	a.writeTimeout = timeout
 	return a
 }
 
