--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -7,21 +7,22 @@
 	"hash/crc32"
 )
 
-// A frame is a header of four little-endian 32-bit numbers (magic, length of
-// the payload, CRC of the payload, CRC of the three numbers before) and the
-// payload. CRCs use the Castagnoli polynomial.
+// A frame is a header followed by the payload. The header holds four
+// little-endian 32-bit numbers: magic, payload length, CRC of the payload, and
+// CRC of the three preceding numbers. CRCs use the Castagnoli polynomial.
 const (
 	frameMagic  = 0x4c505352
 	headerSize  = 16
 	maxPayload  = 1 << 30
 	sectorBytes = 512
-	// minZeroBytes is how many zeros are taken for an unwritten part of a sector.
+	// minZeroBytes is the shortest run of zeros that counts as an unwritten part
+	// of a sector.
 	minZeroBytes = 16
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// CorruptError means that a file holds bytes that were not written like that.
+// CorruptError reports that the content of a file differs from what was written.
 type CorruptError struct {
 	File   string
 	Offset int64
@@ -42,35 +43,35 @@
 	return append(buffer, payload...)
 }
 
-// frameState says what stands at an offset.
+// frameState classifies the data at an offset.
 type frameState uint8
 
 const (
-	frameWhole frameState = iota
-	// frameTorn can come from a write that a crash cut short.
+	frameIntact frameState = iota
+	// frameTorn marks data that a write interrupted by a crash can leave behind.
 	frameTorn
-	// frameDamaged cannot.
+	// frameDamaged marks data that an interrupted write cannot leave behind.
 	frameDamaged
 )
 
-// readFrame reads the frame at the start of data, which reaches to the file's
-// end; offset is its place in the file.
+// readFrame reads the frame at the start of data. data extends to the end of the
+// file; offset is its position in the file.
 func readFrame(data []byte, offset int) (payload []byte, state frameState) {
 	if len(data) < headerSize {
 		return nil, frameTorn
 	}
 	length, sum, ok := parseHeader(data)
 	if !ok {
-		return nil, tornIf(allZero(data) || zeroFromNextSector(data, offset))
+		return nil, tornOrDamaged(allZero(data) || zeroFromNextSector(data, offset))
 	}
 	if uint64(len(data)-headerSize) < uint64(length) {
 		return nil, frameTorn
 	}
 	payload = data[headerSize : headerSize+int(length)]
 	if crc32.Checksum(payload, castagnoli) != sum {
-		return nil, tornIf(hasZeroSector(data[:headerSize+int(length)], offset))
+		return nil, tornOrDamaged(hasZeroSector(data[:headerSize+int(length)], offset))
 	}
-	return payload, frameWhole
+	return payload, frameIntact
 }
 
 func parseHeader(data []byte) (length, sum uint32, ok bool) {
@@ -84,7 +85,7 @@
 	return length, binary.LittleEndian.Uint32(data[8:]), length <= maxPayload
 }
 
-func tornIf(torn bool) frameState {
+func tornOrDamaged(torn bool) frameState {
 	if torn {
 		return frameTorn
 	}
@@ -95,18 +96,18 @@
 	return len(bytes.TrimLeft(data, "\x00")) == 0
 }
 
-// zeroFromNextSector reports whether a header lies across two sectors and
-// nothing was written from the second one on.
+// zeroFromNextSector reports whether the header at offset spans two sectors and
+// all data from the second sector on is zero, that is, unwritten.
 func zeroFromNextSector(data []byte, offset int) bool {
 	written := sectorBytes - offset%sectorBytes
 	return written < headerSize && allZero(data[written:])
 }
 
-// hasZeroSector reports whether a sector that the frame reaches into is all
-// zeros there: the file had grown before the crash, but the sector was not
-// written yet. A flipped bit does not look like that. Where the frame reaches
-// only a few bytes into a sector, zeros prove nothing: taking them for a torn
-// write could cut a synced record in silence.
+// hasZeroSector reports whether the frame's part of any sector is all zeros. This
+// happens when the file had grown before the crash but the sector was not written
+// yet; a flipped bit does not have this effect. Parts shorter than minZeroBytes
+// are ignored: a few zeros may be valid payload, and treating them as a torn
+// write could silently truncate a synced record.
 func hasZeroSector(frame []byte, offset int) bool {
 	for len(frame) > 0 {
 		sector := min(len(frame), sectorBytes-offset%sectorBytes)
@@ -118,9 +119,10 @@
 	return false
 }
 
-// wholeFrameFollows reports whether any later place holds a whole frame: then
-// what stands before it was not the end of the log.
-func wholeFrameFollows(data []byte) bool {
+// hasLaterFrame reports whether data holds an intact frame after its first byte.
+// In that case the data before that frame was not the end of the log, so it is
+// not a torn tail.
+func hasLaterFrame(data []byte) bool {
 	magic := binary.LittleEndian.AppendUint32(nil, frameMagic)
 	for at := 1; at < len(data); at++ {
 		next := bytes.Index(data[at:], magic)
@@ -128,23 +130,24 @@
 			return false
 		}
 		at += next
-		if _, state := readFrame(data[at:], at); state == frameWhole {
+		if _, state := readFrame(data[at:], at); state == frameIntact {
 			return true
 		}
 	}
 	return false
 }
 
-// readFrames calls f with each payload of a file and returns how many bytes are
-// whole. A torn end is cut only in the last file.
+// readFrames calls f with the payload of each frame of a file and returns the
+// total size of the intact frames in bytes. A torn tail is accepted, and left out
+// of the size, only if last is set; otherwise it is a *CorruptError.
 func readFrames(name string, data []byte, last bool, f func(payload []byte) error) (int, error) {
 	offset := 0
 	for offset < len(data) {
 		payload, state := readFrame(data[offset:], offset)
-		if state == frameTorn && last && !wholeFrameFollows(data[offset:]) {
+		if state == frameTorn && last && !hasLaterFrame(data[offset:]) {
 			return offset, nil
 		}
-		if state != frameWhole {
+		if state != frameIntact {
 			return offset, &CorruptError{File: name, Offset: int64(offset), Reason: "checksum or length"}
 		}
 		if err := f(payload); err != nil {
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -13,26 +13,28 @@
 	io.Reader
 	io.Writer
 	io.Closer
-	// Sync returns once everything written is on disk.
+	// Sync returns once all written data is on disk.
 	Sync() error
 	Truncate(size int64) error
 }
 
-// FS is the part of a file system that the log needs. Tests put failures in.
+// FS is the subset of file system operations that the log needs. Tests implement
+// it to inject failures.
 type FS interface {
 	MkdirAll(path string) error
 	// ReadDir returns the names in a folder, sorted.
 	ReadDir(path string) ([]string, error)
 	Open(path string) (File, error)
-	// Create makes an empty file, or empties an existing one.
+	// Create creates an empty file or truncates an existing one.
 	Create(path string) (File, error)
-	// Append opens an existing file for writing at its end.
+	// Append opens an existing file for appending.
 	Append(path string) (File, error)
 	Rename(from, to string) error
 	Remove(path string) error
-	// SyncDir returns once the names in a folder are on disk.
+	// SyncDir returns once the directory entries of a folder are on disk.
 	SyncDir(path string) error
-	// Lock takes an exclusive lock that ends with the process or the closer.
+	// Lock takes an exclusive lock. The lock is released when the returned closer
+	// is closed or the process exits.
 	Lock(path string) (io.Closer, error)
 }
 
@@ -44,7 +46,7 @@
 	fileMode   = 0o600
 )
 
-// ErrLocked means that another process uses the folder.
+// ErrLocked is returned by FS.Lock when another process holds the lock.
 var ErrLocked = errors.New("another process uses the data folder")
 
 // MkdirAll implements FS.
@@ -108,7 +110,9 @@
 	return file, nil
 }
 
-// WriteAtomically makes a file appear whole and synced, or not at all.
+// WriteAtomically writes a file so that after a crash it either holds all of data
+// or keeps its former state: it writes and syncs a temporary file, renames it,
+// and syncs the folder.
 func WriteAtomically(fs FS, folder, name string, data []byte) error {
 	temporary := folder + "/" + name + temporarySuffix
 	file, err := fs.Create(temporary)
--- a/internal/wal/identity.go
+++ b/internal/wal/identity.go
@@ -12,27 +12,28 @@
 
 const identityName = "identity.json"
 
-// Identity is who a data folder makes its instance. The incarnation is drawn
-// when the folder is created: an instance that lost its folder has forgotten
-// how it voted, and must never vote again as the member it was.
+// Identity identifies the member that owns a data folder. The incarnation is
+// generated at random when the folder is created: an instance that lost its
+// folder no longer knows its past votes and must never vote again under its
+// former member ID.
 type Identity struct {
 	Instance    string `json:"instance"`
 	Incarnation string `json:"incarnation"`
 }
 
-// ID is the member's identity in the log.
+// ID returns the member's ID in the log.
 func (i Identity) ID() replog.ID { return replog.ID(i.Instance + "." + i.Incarnation) }
 
 func openIdentity(fs FS, folder string, names []string, instance string) (Identity, error) {
-	logged := false
+	hasLog := false
 	for _, name := range names {
 		if name == identityName {
 			return readIdentity(fs, folder+"/"+name, instance)
 		}
-		logged = logged || strings.HasSuffix(name, segmentSuffix) || strings.HasSuffix(name, snapshotSuffix)
+		hasLog = hasLog || strings.HasSuffix(name, segmentSuffix) || strings.HasSuffix(name, snapshotSuffix)
 	}
-	if logged {
-		return Identity{}, errors.Errorf("%s is missing beside a log", identityName)
+	if hasLog {
+		return Identity{}, errors.Errorf("%s is missing, but the folder holds log files", identityName)
 	}
 	identity := Identity{Instance: instance, Incarnation: strings.ReplaceAll(uuid.NewString(), "-", "")[:12]}
 	data, err := json.Marshal(identity)
@@ -49,7 +50,7 @@
 	}
 	var identity Identity
 	if err := json.Unmarshal(data, &identity); err != nil || identity.Incarnation == "" {
-		return Identity{}, &CorruptError{File: path, Reason: "not an identity"}
+		return Identity{}, &CorruptError{File: path, Reason: "invalid identity file"}
 	}
 	if identity.Instance != instance {
 		return Identity{}, errors.Errorf("the folder belongs to instance %q, not to %q", identity.Instance, instance)
--- a/internal/wal/memfs_test.go
+++ b/internal/wal/memfs_test.go
@@ -11,12 +11,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// memFS is a file system in memory that tells what a crash would leave: synced
-// bytes of synced names. It can fail from a given operation on.
+// memFS is an in-memory file system that models crashes: only synced bytes of
+// files whose directory entries were synced are sure to survive. It can be set to
+// fail from a given operation on.
 type memFS struct {
 	files   map[string]*memFile
 	durable map[string]*memFile
-	// failAt is the operation that fails first with failure, 0 for none.
+	// failAt is the number of the first operation that fails with failure; 0
+	// means that none fails.
 	failAt     int
 	failure    error
 	operations int
@@ -31,7 +33,8 @@
 	return &memFS{files: make(map[string]*memFile), durable: make(map[string]*memFile)}
 }
 
-// step counts an operation that changes the disk and tells whether it fails.
+// step counts an operation that changes the disk and returns an error if it is
+// set to fail.
 func (fs *memFS) step() error {
 	fs.operations++
 	if fs.failAt > 0 && fs.operations >= fs.failAt {
@@ -40,10 +43,11 @@
 	return nil
 }
 
-// crash returns what is left: synced names and bytes, or, when extra is above 0,
-// all names and so many bytes of what each file had beyond the synced ones.
+// crash returns the file system as it is after a crash. With extra at 0 only
+// synced names and bytes remain; with extra above 0 all names remain, and up to
+// extra unsynced bytes at the end of each file.
 func (fs *memFS) crash(extra int) *memFS {
-	left := newMemFS()
+	crashed := newMemFS()
 	names := fs.durable
 	if extra > 0 {
 		names = fs.files
@@ -54,9 +58,9 @@
 			data = slices.Clone(file.data[:min(len(file.data), len(file.synced)+extra)])
 		}
 		kept := &memFile{data: data, synced: slices.Clone(data)}
-		left.files[name], left.durable[name] = kept, kept
+		crashed.files[name], crashed.durable[name] = kept, kept
 	}
-	return left
+	return crashed
 }
 
 func (fs *memFS) MkdirAll(string) error { return nil }
@@ -123,9 +127,9 @@
 	reader *bytes.Reader
 }
 
-func (h *memHandle) Read(into []byte) (int, error) { return h.reader.Read(into) }
+func (h *memHandle) Read(buffer []byte) (int, error) { return h.reader.Read(buffer) }
 
-// Write fails half-way, as a full disk does.
+// Write writes half of the data before it fails, as on a full disk.
 func (h *memHandle) Write(data []byte) (int, error) {
 	if err := h.fs.step(); err != nil {
 		h.file.data = append(h.file.data, data[:len(data)/2]...)
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -15,7 +15,7 @@
 // record is the payload of one frame of a segment.
 type record struct {
 	HardState *replog.HardState `json:"hardState,omitempty"`
-	// Reset, when above 0, says that a snapshot at that index replaced the log.
+	// Reset, if above 0, is the index of a snapshot that replaced the log.
 	Reset   uint64         `json:"reset,omitempty"`
 	Entries []replog.Entry `json:"entries,omitempty"`
 }
@@ -33,7 +33,7 @@
 
 func decode(data []byte, into any) error {
 	if len(data) == 0 || data[0] != recordVersion {
-		return errors.Errorf("the record is not of version %d", recordVersion)
+		return errors.Errorf("unsupported record version, want %d", recordVersion)
 	}
 	reader := bytes.NewReader(data[1:])
 	decoder := msgpack.NewDecoder(reader)
@@ -43,15 +43,15 @@
 		return errors.Wrap(err, "decode")
 	}
 	if reader.Len() > 0 {
-		return errors.New("bytes follow the record")
+		return errors.New("trailing bytes after the record")
 	}
 	return nil
 }
 
-// replay is what the records of the segments add up to.
+// replay is the state that results from applying the records of the segments in order.
 type replay struct {
-	hard    replog.HardState
-	entries []replog.Entry
+	hardState replog.HardState
+	entries   []replog.Entry
 }
 
 func (r *replay) apply(payload []byte) error {
@@ -60,7 +60,7 @@
 		return err
 	}
 	if next.HardState != nil {
-		r.hard = *next.HardState
+		r.hardState = *next.HardState
 	}
 	if next.Reset > 0 {
 		r.entries = nil
@@ -88,9 +88,11 @@
 	return nil
 }
 
-// after returns the entries that follow a snapshot. A log that holds another
-// entry at the snapshot's index is older than the snapshot: the crash came
-// between the snapshot and its record.
+// after returns the entries that follow the snapshot s; nil means no snapshot. If
+// the log holds an entry of a different term at the snapshot's index, the log is
+// older than the snapshot and none of its entries are returned: the process
+// crashed after saving the snapshot and before writing the record that resets the
+// log.
 func (r *replay) after(s *replog.Snapshot) ([]replog.Entry, error) {
 	if len(r.entries) == 0 {
 		return nil, nil
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -6,10 +6,11 @@
 	"github.com/rosemarypass/rosemarypass/coord/replog"
 )
 
-// readSnapshot reads the newest snapshot. A damaged one is refused rather than
-// passed over: the entries before it may be gone.
+// readSnapshot reads the newest snapshot. It returns an error if that snapshot is
+// damaged, rather than falling back to an older one, because the entries before
+// the newest snapshot may already be deleted.
 func (l *Log) readSnapshot(names []string) error {
-	numbers, err := numbered(names, snapshotSuffix)
+	numbers, err := fileNumbers(names, snapshotSuffix)
 	if err != nil || len(numbers) == 0 {
 		return err
 	}
@@ -23,14 +24,14 @@
 	if err != nil {
 		return err
 	}
-	l.restored.Snapshot, l.snapshot = &s, s.Index
+	l.restored.Snapshot, l.snapshotIndex = &s, s.Index
 	return nil
 }
 
 func decodeSnapshot(name string, data []byte) (replog.Snapshot, error) {
 	var s replog.Snapshot
 	frames := 0
-	whole, err := readFrames(name, data, false, func(payload []byte) error {
+	size, err := readFrames(name, data, false, func(payload []byte) error {
 		frames++
 		return decode(payload, &s)
 	})
@@ -38,12 +39,13 @@
 		return replog.Snapshot{}, err
 	}
 	if frames != 1 || s.Index == 0 {
-		return replog.Snapshot{}, &CorruptError{File: name, Offset: int64(whole), Reason: "not one snapshot"}
+		return replog.Snapshot{}, &CorruptError{File: name, Offset: int64(size), Reason: "file does not hold exactly one snapshot"}
 	}
 	return s, nil
 }
 
-// Compact saves a snapshot and deletes what it makes superfluous.
+// Compact saves a snapshot and deletes the older snapshot and the segments that
+// it makes obsolete.
 func (l *Log) Compact(s replog.Snapshot) error {
 	if l.failure != nil {
 		return ErrFailed
@@ -56,7 +58,7 @@
 }
 
 func (l *Log) compact(s replog.Snapshot) error {
-	if s.Index <= l.snapshot {
+	if s.Index <= l.snapshotIndex {
 		return nil
 	}
 	if err := l.saveSnapshot(s); err != nil {
@@ -71,7 +73,7 @@
 	return l.options.FS.SyncDir(l.options.Folder)
 }
 
-// saveSnapshot makes a snapshot durable, then deletes the one before.
+// saveSnapshot makes a snapshot durable and then deletes the previous one.
 func (l *Log) saveSnapshot(s replog.Snapshot) error {
 	payload, err := encode(s)
 	if err != nil {
@@ -84,8 +86,8 @@
 	if err := WriteAtomically(l.options.FS, l.options.Folder, name, appendFrame(nil, payload)); err != nil {
 		return err
 	}
-	previous := l.snapshot
-	l.snapshot = s.Index
+	previous := l.snapshotIndex
+	l.snapshotIndex = s.Index
 	if previous == 0 || previous == s.Index {
 		return nil
 	}
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -1,10 +1,11 @@
-// Package wal keeps a control instance's part of the replicated log on disk:
-// checksummed records in segment files, snapshot files, and the identity of
-// the member, all under one data folder that one process uses at a time.
+// Package wal stores a control instance's replica of the replicated log on
+// disk: checksummed records in segment files, snapshot files, and the identity
+// of the member. All files are in one data folder that only one process may use
+// at a time.
 //
 // Append returns only after a sync. After the first failed write or sync the
-// log refuses everything: what reached the disk is then not known, and a
-// second sync that succeeds would prove nothing.
+// log refuses all further writes: which data reached the disk is then unknown,
+// and a later successful sync would not prove that the earlier data is durable.
 package wal
 
 import (
@@ -18,16 +19,17 @@
 	"github.com/rosemarypass/rosemarypass/coord/replog"
 )
 
-// ErrFailed means that an earlier write or sync failed.
+// ErrFailed is returned for every write after a failed write or sync.
 var ErrFailed = errors.New("the log's disk failed")
 
 // Options configure a log.
 type Options struct {
 	// Folder is the data folder.
 	Folder string
-	// FS is the file system, the operating system's by default.
+	// FS is the file system; nil selects the operating system's.
 	FS FS
-	// SegmentBytes is the size at which a new segment file begins.
+	// SegmentBytes is the size, in bytes, at which a new segment file is
+	// started; 0 selects the default of 16 MiB.
 	SegmentBytes int
 }
 
@@ -39,10 +41,10 @@
 	temporarySuffix     = ".tmp"
 )
 
-// Batch is what must be on disk together with the other batches of an Append.
+// Batch is a set of changes to the log. All batches of one Append call are synced together.
 type Batch struct {
 	HardState *replog.HardState
-	// Snapshot replaces the log before it.
+	// Snapshot replaces all earlier entries of the log.
 	Snapshot *replog.Snapshot
 	Entries  []replog.Entry
 }
@@ -51,25 +53,26 @@
 type segment struct {
 	number uint64
 	size   int
-	// lastIndex is the highest entry index that the file has held.
+	// lastIndex is the highest entry index ever written to the file, including
+	// entries that were overwritten later.
 	lastIndex uint64
 }
 
-// Log is an open data folder. One duty owns it.
+// Log is an open data folder. It is not safe for concurrent use; one goroutine owns it.
 type Log struct {
-	options  Options
-	lock     io.Closer
-	identity Identity
-	restored replog.Restored
-	segments []segment
-	file     File
-	hard     replog.HardState
-	snapshot uint64
-	failure  error
+	options       Options
+	lock          io.Closer
+	identity      Identity
+	restored      replog.Restored
+	segments      []segment
+	file          File
+	hardState     replog.HardState
+	snapshotIndex uint64
+	failure       error
 }
 
-// Open locks a folder, creates it for the named instance when it is empty, and
-// reads it.
+// Open locks the data folder, initializes it for the named instance if it is
+// empty, and reads its content.
 func Open(options Options, instance string) (*Log, error) {
 	if options.FS == nil {
 		options.FS = OS{}
@@ -107,19 +110,20 @@
 	if err := l.readSegments(names); err != nil {
 		return err
 	}
-	return l.openLast()
+	return l.openLastSegment()
 }
 
 func (l *Log) path(name string) string { return l.options.Folder + "/" + name }
 
-// Identity is the member's identity.
+// Identity returns the member's identity.
 func (l *Log) Identity() Identity { return l.identity }
 
-// Restored is what the folder held when it was opened.
+// Restored returns the state that the folder held when it was opened.
 func (l *Log) Restored() replog.Restored { return l.restored }
 
-// numbered returns the numbers in the names with a suffix, in order.
-func numbered(names []string, suffix string) ([]uint64, error) {
+// fileNumbers returns the numbers in the file names that end with suffix, in the
+// order of names. It returns an error if a name with the suffix has no number.
+func fileNumbers(names []string, suffix string) ([]uint64, error) {
 	var numbers []uint64
 	for _, name := range names {
 		text, ok := strings.CutSuffix(name, suffix)
@@ -128,7 +132,7 @@
 		}
 		number, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
-			return nil, errors.Errorf("%s is not a file of the log", name)
+			return nil, errors.Errorf("%s is not a valid log file name", name)
 		}
 		numbers = append(numbers, number)
 	}
@@ -138,26 +142,26 @@
 func fileName(number uint64, suffix string) string { return fmt.Sprintf("%020d%s", number, suffix) }
 
 func (l *Log) readSegments(names []string) error {
-	numbers, err := numbered(names, segmentSuffix)
+	numbers, err := fileNumbers(names, segmentSuffix)
 	if err != nil {
 		return err
 	}
-	var all replay
+	var replayed replay
 	for i, number := range numbers {
 		if i > 0 && number != numbers[i-1]+1 {
 			return errors.Errorf("%s is missing", fileName(numbers[i-1]+1, segmentSuffix))
 		}
-		if err := l.readSegment(number, i == len(numbers)-1, &all); err != nil {
+		if err := l.readSegment(number, i == len(numbers)-1, &replayed); err != nil {
 			return err
 		}
 	}
-	l.hard = all.hard
-	l.restored.HardState = all.hard
-	l.restored.Entries, err = all.after(l.restored.Snapshot)
+	l.hardState = replayed.hardState
+	l.restored.HardState = replayed.hardState
+	l.restored.Entries, err = replayed.after(l.restored.Snapshot)
 	return err
 }
 
-func (l *Log) readSegment(number uint64, last bool, all *replay) error {
+func (l *Log) readSegment(number uint64, last bool, replayed *replay) error {
 	path := l.path(fileName(number, segmentSuffix))
 	data, err := readFile(l.options.FS, path)
 	if err != nil {
@@ -165,9 +169,9 @@
 	}
 	s := segment{number: number}
 	s.size, err = readFrames(path, data, last, func(payload []byte) error {
-		err := all.apply(payload)
-		if n := len(all.entries); n > 0 {
-			s.lastIndex = max(s.lastIndex, all.entries[n-1].Index)
+		err := replayed.apply(payload)
+		if n := len(replayed.entries); n > 0 {
+			s.lastIndex = max(s.lastIndex, replayed.entries[n-1].Index)
 		}
 		return err
 	})
@@ -178,8 +182,9 @@
 	return nil
 }
 
-// openLast opens the last segment for appending, less its torn end.
-func (l *Log) openLast() error {
+// openLastSegment opens the last segment for appending and truncates its torn
+// tail.
+func (l *Log) openLastSegment() error {
 	if len(l.segments) == 0 {
 		return l.addSegment(1)
 	}
@@ -193,15 +198,15 @@
 		return err
 	}
 	if last.size == 0 {
-		// The crash came while the file was begun. Without its hard state,
-		// deleting the files before it would forget a vote.
-		return l.beginSegment()
+		// The process crashed before the file's first record was written. Without
+		// the hard state in this file, deleting the earlier files would lose a vote.
+		return l.initSegment()
 	}
 	return file.Sync()
 }
 
-// addSegment begins a file. It repeats the hard state, so that the files before
-// it can be deleted.
+// addSegment starts a new segment file. The file begins with a copy of the hard
+// state, so that the files before it can be deleted.
 func (l *Log) addSegment(number uint64) error {
 	path := l.path(fileName(number, segmentSuffix))
 	file, err := l.options.FS.Create(path)
@@ -213,11 +218,11 @@
 	}
 	l.file = file
 	l.segments = append(l.segments, segment{number: number})
-	return l.beginSegment()
+	return l.initSegment()
 }
 
-func (l *Log) beginSegment() error {
-	frame, err := l.frame(record{HardState: &l.hard})
+func (l *Log) initSegment() error {
+	frame, err := l.encodeFrame(record{HardState: &l.hardState})
 	if err != nil {
 		return err
 	}
@@ -227,7 +232,7 @@
 	return l.options.FS.SyncDir(l.options.Folder)
 }
 
-func (l *Log) frame(r record) ([]byte, error) {
+func (l *Log) encodeFrame(r record) ([]byte, error) {
 	payload, err := encode(r)
 	if err != nil {
 		return nil, err
@@ -247,8 +252,8 @@
 	return nil
 }
 
-// Append writes batches in order and syncs them together. Once it has returned
-// an error, the log is closed to everything.
+// Append writes the batches in order and syncs them together. Once it has
+// returned an error, all later writes return ErrFailed.
 func (l *Log) Append(batches ...Batch) error {
 	if l.failure != nil {
 		return ErrFailed
@@ -282,11 +287,12 @@
 	return l.addSegment(last.number + 1)
 }
 
-// prepare saves a batch's snapshot and returns the frame of the rest.
+// prepare saves the snapshot of a batch and returns the frame that holds the
+// rest of the batch, or nil if nothing else is left.
 func (l *Log) prepare(b Batch) ([]byte, error) {
 	r := record{HardState: b.HardState, Entries: b.Entries}
 	if b.HardState != nil {
-		l.hard = *b.HardState
+		l.hardState = *b.HardState
 	}
 	if b.Snapshot != nil {
 		if err := l.saveSnapshot(*b.Snapshot); err != nil {
@@ -301,10 +307,10 @@
 	if r.HardState == nil && r.Reset == 0 && len(r.Entries) == 0 {
 		return nil, nil
 	}
-	return l.frame(r)
+	return l.encodeFrame(r)
 }
 
-// Bytes is the size of the segments.
+// Bytes returns the total size of the segments in bytes.
 func (l *Log) Bytes() int {
 	total := 0
 	for _, s := range l.segments {
@@ -313,7 +319,7 @@
 	return total
 }
 
-// Close ends the use of the folder.
+// Close closes the log and releases the lock on the folder.
 func (l *Log) Close() error {
 	if l.file != nil {
 		_ = l.file.Close()
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -16,19 +16,19 @@
 	segmentBytes = 400
 )
 
-// expected is what a folder must hold after some batches.
+// expected is the state that a folder must hold after a number of batches.
 type expected struct {
-	hard     replog.HardState
-	snapshot uint64
-	entries  []replog.Entry
+	hardState     replog.HardState
+	snapshotIndex uint64
+	entries       []replog.Entry
 }
 
 func (e expected) with(b Batch) expected {
 	if b.HardState != nil {
-		e.hard = *b.HardState
+		e.hardState = *b.HardState
 	}
 	if b.Snapshot != nil {
-		e.snapshot, e.entries = b.Snapshot.Index, nil
+		e.snapshotIndex, e.entries = b.Snapshot.Index, nil
 	}
 	if len(b.Entries) > 0 {
 		first := b.Entries[0].Index
@@ -39,21 +39,21 @@
 }
 
 func (e expected) compacted(index uint64) expected {
-	e.snapshot = index
+	e.snapshotIndex = index
 	e.entries = slices.DeleteFunc(slices.Clone(e.entries), func(old replog.Entry) bool { return old.Index <= index })
 	return e
 }
 
 func restoredState(r replog.Restored) expected {
-	e := expected{hard: r.HardState, entries: slices.Clone(r.Entries)}
+	e := expected{hardState: r.HardState, entries: slices.Clone(r.Entries)}
 	if r.Snapshot != nil {
-		e.snapshot = r.Snapshot.Index
+		e.snapshotIndex = r.Snapshot.Index
 	}
 	return e
 }
 
-func same(a, b expected) bool {
-	return a.hard == b.hard && a.snapshot == b.snapshot && len(a.entries) == len(b.entries) &&
+func equal(a, b expected) bool {
+	return a.hardState == b.hardState && a.snapshotIndex == b.snapshotIndex && len(a.entries) == len(b.entries) &&
 		(len(a.entries) == 0 || reflect.DeepEqual(a.entries, b.entries))
 }
 
@@ -70,8 +70,8 @@
 	return replog.Snapshot{Index: index, Term: term, Config: config, Data: []byte("state")}
 }
 
-// script is what a member's disk goes through: votes, appends, an overwritten
-// tail, compactions and a snapshot from a leader.
+// script returns the operations of a typical member: votes, appends, an
+// overwritten tail, compactions and a snapshot from a leader.
 func script() []func(l *Log, e expected) (expected, error) {
 	appendBatch := func(b Batch) func(*Log, expected) (expected, error) {
 		return func(l *Log, e expected) (expected, error) { return e.with(b), l.Append(b) }
@@ -101,32 +101,32 @@
 	return Open(Options{Folder: folder, FS: fs, SegmentBytes: segmentBytes}, "control-a")
 }
 
-// runScript runs the steps until one fails and returns the states that a crash
-// then may leave: what was acknowledged, what the failed step would have left,
-// and a leader's snapshot without the rest of its batch.
+// runScript runs the steps until one fails and returns the states that are valid
+// after a crash at that point: the acknowledged state, the state after the failed
+// step, and a leader's snapshot without the rest of its batch.
 func runScript(l *Log) ([]expected, error) {
 	var done expected
 	for _, step := range script() {
 		next, err := step(l, done)
 		if err != nil {
-			alone := expected{hard: done.hard, snapshot: next.snapshot}
-			return []expected{done, next, alone}, err
+			snapshotOnly := expected{hardState: done.hardState, snapshotIndex: next.snapshotIndex}
+			return []expected{done, next, snapshotOnly}, err
 		}
 		done = next
 	}
 	return []expected{done}, nil
 }
 
-// The plug is pulled at any moment. Whatever was acknowledged must be there
-// when the instance comes back, and it must be able to go on.
-func TestCrashAtEveryOperationKeepsWhatWasAcknowledged(t *testing.T) {
-	whole := newMemFS()
-	if l, err := openMem(whole); err != nil {
+// A power failure can happen at any disk operation. After the restart the log
+// must hold everything that was acknowledged and accept further writes.
+func TestCrashAtEveryOperationKeepsAcknowledgedData(t *testing.T) {
+	reference := newMemFS()
+	if l, err := openMem(reference); err != nil {
 		t.Fatal(err)
 	} else if _, err := runScript(l); err != nil {
 		t.Fatal(err)
 	}
-	for failAt := 1; failAt <= whole.operations; failAt++ {
+	for failAt := 1; failAt <= reference.operations; failAt++ {
 		for _, extra := range []int{0, 7, 1 << 20} {
 			fs := newMemFS()
 			fs.failAt, fs.failure = failAt, errNoSpace
@@ -134,24 +134,25 @@
 			if l, err := openMem(fs); err == nil {
 				allowed, _ = runScript(l)
 			}
-			left := fs.crash(extra)
-			l, err := openMem(left)
+			crashed := fs.crash(extra)
+			l, err := openMem(crashed)
 			if err != nil {
-				t.Fatalf("operation %d, %d bytes more: %v", failAt, extra, err)
+				t.Fatalf("crash at operation %d with %d unsynced bytes: %v", failAt, extra, err)
 			}
 			got := restoredState(l.Restored())
-			if !slices.ContainsFunc(allowed, func(e expected) bool { return same(got, e) }) {
-				t.Fatalf("operation %d, %d bytes more: got %+v, want one of %+v", failAt, extra, got, allowed)
+			if !slices.ContainsFunc(allowed, func(e expected) bool { return equal(got, e) }) {
+				t.Fatalf("crash at operation %d with %d unsynced bytes: got %+v, want one of %+v", failAt, extra, got, allowed)
 			}
-			checkContinues(t, left, l, got)
+			checkUsable(t, crashed, l, got)
 		}
 	}
 }
 
-// checkContinues appends after a recovery, compacts and reads again.
-func checkContinues(t *testing.T, fs *memFS, l *Log, have expected) {
+// checkUsable appends an entry to a recovered log, compacts it and checks the
+// result after another crash.
+func checkUsable(t *testing.T, fs *memFS, l *Log, have expected) {
 	t.Helper()
-	next := have.snapshot + uint64(len(have.entries)) + 1
+	next := have.snapshotIndex + uint64(len(have.entries)) + 1
 	b := Batch{Entries: entries(next, next, 9)}
 	if err := l.Append(b); err != nil {
 		t.Fatal(err)
@@ -164,14 +165,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := restoredState(again.Restored()); !same(got, want) {
-		t.Fatalf("after going on: got %+v, want %+v", got, want)
+	if got := restoredState(again.Restored()); !equal(got, want) {
+		t.Fatalf("after append and compaction: got %+v, want %+v", got, want)
 	}
 }
 
-// The disk is full or a sync fails. The instance must not acknowledge anything
-// after that, even if a later sync would succeed.
-func TestFailedDiskRefusesEverythingAfterwards(t *testing.T) {
+// After a write or sync has failed, for example because the disk is full, the log
+// must not acknowledge anything, even if a later sync would succeed.
+func TestLogRefusesWritesAfterDiskFailure(t *testing.T) {
 	fs := newMemFS()
 	l, err := openMem(fs)
 	if err != nil {
@@ -190,7 +191,8 @@
 	}
 }
 
-// logWithTail returns a folder with one segment, and where its last frame starts.
+// logWithTail returns a folder with one segment, the segment's path and the
+// offset of its last frame.
 func logWithTail(t testing.TB) (fs *memFS, path string, lastFrame int) {
 	t.Helper()
 	fs = newMemFS()
@@ -209,9 +211,10 @@
 	return fs, folder + "/" + fileName(1, segmentSuffix), lastFrame
 }
 
-// A crash cuts the last write short at any byte, or the file has grown to its
-// full length while the sectors of the write are still zeros.
-func TestTornTailIsCutAtEveryByte(t *testing.T) {
+// A crash can cut the last write short at any byte, or leave a file that has its
+// full length while sectors of the write are still zeros. Both must be truncated
+// to the last intact frame.
+func TestTornTailIsTruncatedAtEveryByte(t *testing.T) {
 	fs, path, lastFrame := logWithTail(t)
 	data := fs.files[path].data
 	for cut := lastFrame; cut < len(data); cut++ {
@@ -222,9 +225,10 @@
 	checkTorn(t, fs, path, append(slices.Clone(data[:sector]), make([]byte, len(data)-sector)...))
 }
 
-// What stands at the end is judged by what a cut-short write can leave, and
-// everything else is refused: an instance must not lose synced records in silence.
-func TestEndOfFileIsCutOnlyWhenItCanBeTorn(t *testing.T) {
+// Only data that an interrupted write can leave at the end of a file counts as
+// torn. Everything else is reported as damage: truncating it could silently lose
+// synced records.
+func TestOnlyTornTailIsTruncated(t *testing.T) {
 	frame := appendFrame(nil, append(bytes.Repeat([]byte{7}, 100), 0, 0, 0))
 	flipped := slices.Clone(frame)
 	flipped[50] ^= 1
@@ -237,14 +241,14 @@
 		offset int
 		want   frameState
 	}{
-		{"whole", frame, 0, frameWhole},
+		{"intact", frame, 0, frameIntact},
 		{"cut header", frame[:5], 0, frameTorn},
 		{"cut payload", frame[:90], 0, frameTorn},
 		{"zeros", make([]byte, 200), 0, frameTorn},
 		{"header across two sectors, the second unwritten", unwritten, straddling, frameTorn},
 		{"header with zeros within one sector", unwritten, 0, frameDamaged},
 		{"flipped bit", flipped, 0, frameDamaged},
-		{"flipped bit, and zeros of its own in the next sector", flipped, tailInNextSector, frameDamaged},
+		{"flipped bit, with payload zeros in the next sector", flipped, tailInNextSector, frameDamaged},
 	}
 	for _, c := range cases {
 		if _, state := readFrame(c.data, c.offset); state != c.want {
@@ -266,10 +270,10 @@
 	}
 }
 
-// A disk flips a bit in what was synced long ago. Starting without the entries
-// after it would lose accepted changes, so the instance must refuse to start and
-// name the place.
-func TestFlippedBitIsRefusedWithItsPlace(t *testing.T) {
+// A flipped bit in synced data must be reported with its file and offset. Opening
+// the log without the entries after it would lose accepted changes, so the
+// instance must refuse to start.
+func TestFlippedBitIsReportedWithOffset(t *testing.T) {
 	fs, path, _ := logWithTail(t)
 	data := fs.files[path].data
 	for at := range data {
@@ -317,9 +321,9 @@
 	}
 }
 
-// Someone starts a second process on the folder, or points another instance at
-// it; both would write over each other.
-func TestFolderBelongsToOneProcessOfOneInstance(t *testing.T) {
+// A second process on the folder, or another instance that is configured with the
+// same folder, must be rejected: the two would overwrite each other's data.
+func TestFolderIsLockedToOneProcessAndInstance(t *testing.T) {
 	options := Options{Folder: t.TempDir()}
 	first, err := Open(options, "control-a")
 	if err != nil {
@@ -349,13 +353,13 @@
 	f.Add(fs.files[path].data)
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var all replay
-		whole, err := readFrames("segment", data, true, all.apply)
-		if whole > len(data) {
-			t.Fatalf("%d of %d bytes are whole", whole, len(data))
+		var replayed replay
+		size, err := readFrames("segment", data, true, replayed.apply)
+		if size > len(data) {
+			t.Fatalf("%d of %d bytes are intact", size, len(data))
 		}
 		if err == nil {
-			_, _ = all.after(nil)
+			_, _ = replayed.after(nil)
 		}
 	})
 }
