--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -127,7 +127,7 @@
 			Name: p.settings.Instance, Address: peerAddress, DataCentre: p.settings.DataCentre,
 			Entry: role == RoleEntry, Disk: p.settings.DataFolder != "", Started: time.Now().UnixNano(),
 		},
-		Seeds: p.peerSeeds(p.settings.Seeds), Bootstrap: p.settings.Bootstrap, Folder: p.settings.DataFolder, Losses: p.settings.LossesBorne,
+		Seeds: p.peerSeeds(p.settings.Seeds), Bootstrap: p.settings.Bootstrap, Folder: p.settings.DataFolder, Losses: p.settings.ToleratedLosses,
 	}, documents, p.log)
 	handlers := p.mesh.Handlers()
 	switch role {
@@ -138,7 +138,7 @@
 	case RoleAgent:
 		s := sidecar.New(sidecar.Options{
 			Name: p.settings.Instance, Service: p.settings.Service,
-			VersionGrace: time.Duration(versionGraceShare * float64(p.settings.VersionWithin())), Permit: p.mesh.Permit,
+			VersionGrace: time.Duration(versionGraceShare * float64(p.settings.MaxVersionDelay())), Permit: p.mesh.Permit,
 		}, p.platform.Engine(p.settings.Engine), documents, p.log)
 		maps.Copy(handlers, s.Handlers())
 		p.duties.Go(func() { s.Run(ctx) })
@@ -191,7 +191,7 @@
 	p.gateway = gateway.New(gateway.Options{
 		DataCentre: p.settings.DataCentre, AgentPort: strconv.Itoa(p.port(RoleAgent)),
 		RepeatRatio: p.settings.RepeatRatio, RepeatSlack: p.settings.RepeatSlack, RepeatWindow: p.settings.RepeatWindow(),
-		Heartbeat: p.settings.Heartbeat(), StopWithin: p.settings.StopWithin() - stopMargin, Newest: p.mesh.Newest,
+		Heartbeat: p.settings.Heartbeat(), StopWithin: p.settings.StopTimeout() - stopMargin, Newest: p.mesh.Newest,
 	}, p.platform.Edge, p.mesh, p.log)
 	p.duties.Go(func() { p.gateway.Run(ctx) })
 	ready := http.NewServeMux()
@@ -278,9 +278,9 @@
 
 // stop lets what is under way end.
 func (p *process) stop(cancel func()) {
-	time.AfterFunc(p.settings.StopWithin()-stopMargin/2, p.endNow)
+	time.AfterFunc(p.settings.StopTimeout()-stopMargin/2, p.endNow)
 	p.log.Info("stop begins")
-	ctx, end := context.WithTimeout(context.Background(), p.settings.StopWithin()-stopMargin)
+	ctx, end := context.WithTimeout(context.Background(), p.settings.StopTimeout()-stopMargin)
 	defer end()
 	if p.gateway != nil {
 		p.gateway.Stop()
--- a/internal/settings/agent.go
+++ b/internal/settings/agent.go
@@ -10,7 +10,7 @@
 type Agent struct {
 	// Listen is the address that entries send requests to.
 	Listen string `json:"listen"`
-	// Server and Pool name the backend server and its group.
+	// Server is the backend server's name, Pool the name of its group.
 	Server string `json:"server"`
 	Pool   string `json:"pool"`
 	// Engine is the engine's base URL.
@@ -19,13 +19,13 @@
 	BaseModel string `json:"baseModel"`
 	// Slots is the number of adapter slots of the engine.
 	Slots int `json:"slots"`
-	// Queue bounds the requests that wait for a slot.
+	// Queue is the most requests that may wait for a slot.
 	Queue int `json:"queue"`
-	// LoadTimeout bounds one adapter load.
+	// LoadTimeout is the longest time that one adapter load may take.
 	LoadTimeout Duration `json:"loadTimeout"`
 	// AnnounceInterval is the time between announcements.
 	AnnounceInterval Duration `json:"announceInterval"`
-	// DrainTimeout bounds a planned stop.
+	// DrainTimeout is the longest time that a planned stop may take.
 	DrainTimeout Duration `json:"drainTimeout"`
 }
 
@@ -33,8 +33,8 @@
 	defaultQueue            = 256
 	defaultLoadTimeout      = 10 * time.Second
 	defaultAnnounceInterval = 500 * time.Millisecond
-	// maxAnnounceInterval keeps two announcements within the shortest lease, so
-	// that one lost message does not make a living server vanish.
+	// maxAnnounceInterval fits two announcements into the shortest lease, so that
+	// a live server stays listed when one message is lost.
 	maxAnnounceInterval = time.Second
 )
 
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -9,7 +9,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// document is a parsed settings file that remembers where each value stands.
+// document is a parsed settings file that keeps the position of each value.
 type document struct {
 	data []byte
 	root hujson.Value
@@ -21,7 +21,7 @@
 }
 
 // line returns the 1-based line of a dotted path such as "agent.slots". For a
-// value that is missing it returns the line of its nearest present parent.
+// missing value it returns the line of the nearest parent that is present.
 func (d document) line(path string) int {
 	value := d.root
 	for name := range strings.SplitSeq(path, ".") {
@@ -59,8 +59,8 @@
 	return literal.String()
 }
 
-// decode fills target, a pointer to a struct, and reports every unknown key,
-// repeated key and wrong type with its line.
+// decode fills target, a pointer to a struct, and reports each unknown key,
+// duplicate key and value of the wrong type with its line.
 func (d document) decode(target any, p *problems) {
 	d.decodeValue(d.root, reflect.ValueOf(target).Elem(), "", p)
 }
@@ -72,9 +72,9 @@
 		}
 		target = target.Elem()
 	}
-	_, custom := target.Addr().Interface().(json.Unmarshaler)
+	_, isUnmarshaler := target.Addr().Interface().(json.Unmarshaler)
 	switch {
-	case custom:
+	case isUnmarshaler:
 		d.decodeLiteral(value, target, path, p)
 	case target.Kind() == reflect.Struct:
 		d.decodeObject(value, target, path, p)
@@ -95,15 +95,15 @@
 	seen := make(map[string]bool)
 	for _, m := range object.Members {
 		name := literalText(m.Name)
-		line, full := d.lineAt(m.Name.StartOffset), join(path, name)
+		line, fullPath := d.lineAt(m.Name.StartOffset), join(path, name)
 		field, known := fields[name]
 		switch {
 		case !known:
-			p.addLine(line, full, "is not a setting"+suggestion(name, fields))
+			p.addLine(line, fullPath, "is not a known setting"+suggestion(name, fields))
 		case seen[name]:
-			p.addLine(line, full, "is written twice: keep one")
+			p.addLine(line, fullPath, "is set twice: remove one")
 		default:
-			d.decodeValue(m.Value, field, full, p)
+			d.decodeValue(m.Value, field, fullPath, p)
 		}
 		seen[name] = true
 	}
@@ -167,11 +167,12 @@
 	return path + "." + name
 }
 
-// maxTypos is how many edits a misspelt key may be away from the one suggested.
-const maxTypos = 3
+// maxEditDistance is the largest edit distance between an unknown key and the key
+// that is suggested instead.
+const maxEditDistance = 3
 
 func suggestion(name string, fields map[string]reflect.Value) string {
-	best, bestDistance := "", maxTypos+1
+	best, bestDistance := "", maxEditDistance+1
 	for candidate := range fields {
 		distance := editDistance(strings.ToLower(name), strings.ToLower(candidate))
 		if distance < bestDistance || distance == bestDistance && candidate < best {
@@ -184,7 +185,7 @@
 	return "; did you mean " + best + "?"
 }
 
-// editDistance is the Levenshtein distance in bytes.
+// editDistance returns the Levenshtein distance between a and b in bytes.
 func editDistance(a, b string) int {
 	previous := make([]int, len(b)+1)
 	for j := range previous {
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -7,30 +7,31 @@
 
 // Entry configures the entry role.
 type Entry struct {
-	// Listen is the callers' address.
+	// Listen is the listen address for callers.
 	Listen string `json:"listen"`
-	// MaxBodyBytes bounds a request body.
+	// MaxBodyBytes is the largest accepted request body, in bytes.
 	MaxBodyBytes int64 `json:"maxBodyBytes"`
 	// DialTimeout bounds connecting to the next hop.
 	DialTimeout Duration `json:"dialTimeout"`
 	// BodyTimeout bounds how long a caller may take to send its body.
 	BodyTimeout Duration `json:"bodyTimeout"`
-	// WriteTimeout bounds how long a caller may take to accept one piece of
-	// its answer.
+	// WriteTimeout bounds how long a caller may take to accept one write of its
+	// answer.
 	WriteTimeout Duration `json:"writeTimeout"`
 	// FirstByteTimeout bounds the wait for an answer's first byte.
 	FirstByteTimeout Duration `json:"firstByteTimeout"`
-	// StallTimeout bounds a server's silence within an answer.
+	// StallTimeout bounds how long a server may send nothing within an answer.
 	StallTimeout Duration `json:"stallTimeout"`
-	// DrainTimeout bounds a planned stop.
+	// DrainTimeout bounds the duration of a planned stop.
 	DrainTimeout Duration `json:"drainTimeout"`
-	// FreshnessLease is how old the proof may be that no contract was changed
-	// unseen, before the entry admits nothing. A change is in force everywhere
-	// one lease after it was accepted, at the latest.
+	// FreshnessLease is the maximum age of the proof that the entry has seen all
+	// changes of contracts. With an older proof the entry admits no requests. A
+	// change is therefore in force everywhere at most one lease after it was
+	// accepted.
 	FreshnessLease Duration `json:"freshnessLease"`
 }
 
-// Bounds and defaults that roles share.
+// Bounds and defaults, some of them shared by several roles.
 const (
 	defaultMaxBodyBytes = 4 << 20
 	maxMaxBodyBytes     = 1 << 30
@@ -41,13 +42,14 @@
 	defaultCallerTimeout    = 30 * time.Second
 	defaultFirstByteTimeout = 2 * time.Minute
 	defaultStallTimeout     = 30 * time.Second
-	// minRelayTimeout leaves out what would cut off healthy calls.
+	// minRelayTimeout excludes timeouts so short that they would cut off healthy
+	// calls.
 	minRelayTimeout = 100 * time.Millisecond
 	maxRelayTimeout = time.Hour
 
 	defaultFreshnessLease = 3 * time.Second
-	// minFreshnessLease leaves time for one poll and one round of questions
-	// to all control instances.
+	// minFreshnessLease leaves time for one poll and one round of queries to all
+	// control instances.
 	minFreshnessLease = 2500 * time.Millisecond
 	maxFreshnessLease = time.Hour
 )
--- a/internal/settings/fleet.go
+++ b/internal/settings/fleet.go
@@ -9,66 +9,73 @@
 	"github.com/pkg/errors"
 )
 
-// Fleet configures a process of a deployment whose processes find each other by
-// seeds and whose requests follow routes.
+// Fleet configures one process of a deployment in which processes discover each
+// other through seeds and requests are forwarded by routes.
 type Fleet struct {
-	// Instance names the process; unique in the deployment.
+	// Instance is the process's name. It must be unique in the deployment.
 	Instance string `json:"instance"`
-	// DataCentre is where it runs, IP its machine's address.
+	// DataCentre is the data centre that the process runs in, IP its machine's
+	// address.
 	DataCentre string `json:"dataCentre"`
 	IP         string `json:"ip"`
-	// CallerListen, ReadyListen and ControlListen are the addresses for callers,
-	// for the balancer's question whether this entry is ready, and for backend
-	// servers and operators. Agents have none.
+	// CallerListen, ReadyListen and ControlListen are the listen addresses for
+	// callers, for the load balancer's readiness checks of this entry, and for
+	// backend servers and operators. Agents have none.
 	CallerListen  string `json:"callerListen"`
 	ReadyListen   string `json:"readyListen"`
 	ControlListen string `json:"controlListen"`
-	// StatusListen serves /debug/vars, the counters and histograms, and
-	// /healthz; empty for none.
+	// StatusListen is the address that serves /debug/vars (counters and
+	// histograms) and /healthz; empty disables them.
 	StatusListen string `json:"statusListen"`
-	// PeerPorts are the first and the last port for traffic between processes,
-	// the same on all machines.
+	// PeerPorts are the first and the last port for traffic between processes.
+	// They must be the same on all machines.
 	PeerPorts []int `json:"peerPorts"`
-	// Seeds are control addresses of processes to greet first.
+	// Seeds are the control addresses of the processes to contact first.
 	Seeds []string `json:"seeds"`
-	// Bootstrap is true at the deployment's first start only.
+	// Bootstrap is set only when the deployment starts for the first time.
 	Bootstrap bool `json:"bootstrap"`
-	// DataFolder holds the replicated log; empty without a disk.
+	// DataFolder holds the replicated log; it is empty for a process without a disk.
 	DataFolder string `json:"dataFolder"`
-	// MemoryMB is the most memory that the process may use.
+	// MemoryMB is the most memory that the process may use, in megabytes.
 	MemoryMB float64 `json:"memoryMB"`
-	// LossesBorne is how many machines with a disk may be lost at once.
-	LossesBorne int `json:"lossesBorne"`
-	// StopSeconds is how long a planned stop may take.
+	// ToleratedLosses is the number of machines with a disk that the deployment
+	// survives losing at once.
+	ToleratedLosses int `json:"lossesBorne"`
+	// StopSeconds is the longest time that a planned stop may take, in seconds.
 	StopSeconds float64 `json:"stopSeconds"`
-	// DrainMillis is within what time a leaving server gets no new work.
+	// DrainMillis is the time, in milliseconds, after which a leaving server must
+	// get no new work.
 	DrainMillis float64 `json:"drainMillis"`
-	// RepeatRatio and RepeatSlack bound repeats over all entries, in each span of
-	// RepeatWindowSeconds.
+	// RepeatRatio and RepeatSlack bound the retries of all entries together in each
+	// window of RepeatWindowSeconds.
 	RepeatRatio float64 `json:"repeatRatio"`
 	RepeatSlack float64 `json:"repeatSlack"`
-	// RepeatWindowSeconds is 10 where the deployment names none.
+	// RepeatWindowSeconds is the length of that window in seconds; 10 if the
+	// deployment sets none.
 	RepeatWindowSeconds float64 `json:"repeatWindowSeconds"`
-	// VersionMillis is within what time a named adapter version is in force.
+	// VersionMillis is the time, in milliseconds, within which a newly named
+	// adapter version must be in force.
 	VersionMillis float64 `json:"versionMillis"`
-	// HeartbeatMillis is the pause between two announcements of a server.
+	// HeartbeatMillis is the interval, in milliseconds, between two announcements
+	// of a server.
 	HeartbeatMillis float64 `json:"heartbeatMillis"`
-	// Engine is the address of the engine beside an agent, Service its service.
+	// Engine is the address of the engine that an agent runs next to, Service the
+	// service that the engine provides.
 	Engine  string `json:"engine"`
 	Service string `json:"service"`
 }
 
-// Values that stand where the deployment names none.
+// Defaults for values that the deployment does not set.
 const (
-	defaultStop     = 8 * time.Second
-	defaultVersion  = 5 * time.Second
-	defaultRepeat   = 10 * time.Second
-	defaultBeat     = 1200 * time.Millisecond
-	defaultMemoryMB = 256
-	portsOfRange    = 2
+	defaultStopTimeout     = 8 * time.Second
+	defaultMaxVersionDelay = 5 * time.Second
+	defaultRepeatWindow    = 10 * time.Second
+	defaultHeartbeat       = 1200 * time.Millisecond
+	defaultMemoryMB        = 256
+	portRangeLen           = 2
 )
 
-// LoadFleet reads, parses and checks a settings file.
+// LoadFleet reads, parses and validates a settings file.
 func LoadFleet(path string) (Fleet, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -77,7 +84,8 @@
 	return ParseFleet(path, data)
 }
 
-// ParseFleet parses and checks settings; name is used in error messages.
+// ParseFleet parses and validates settings; name is used in error messages. It
+// returns an *InvalidError with all problems found if the settings are invalid.
 func ParseFleet(name string, data []byte) (Fleet, error) {
 	parsed, err := parseDocument(bytes.Clone(data))
 	if err != nil {
@@ -98,9 +106,9 @@
 		p.add("instance", "a name is required")
 	}
 	if net.ParseIP(f.IP) == nil {
-		p.add("ip", "an IP number is required")
+		p.add("ip", "an IP address is required")
 	}
-	if len(f.PeerPorts) != portsOfRange || f.PeerPorts[0] <= 0 || f.PeerPorts[1] < f.PeerPorts[0] {
+	if len(f.PeerPorts) != portRangeLen || f.PeerPorts[0] <= 0 || f.PeerPorts[1] < f.PeerPorts[0] {
 		p.add("peerPorts", "the first and the last port for traffic between processes are required, such as [7380, 7395]")
 	}
 	for _, listen := range []struct{ path, address string }{
@@ -118,49 +126,50 @@
 		p.add("seeds", "the address of at least one process is required")
 	}
 	if f.RepeatRatio < 0 || f.RepeatSlack < 0 || f.RepeatWindowSeconds < 0 {
-		p.add("repeatRatio", "neither it nor repeatSlack and repeatWindowSeconds may be below 0")
+		p.add("repeatRatio", "repeatRatio, repeatSlack and repeatWindowSeconds must not be below 0")
 	}
 	if f.HeartbeatMillis < 0 {
 		p.add("heartbeatMillis", "must not be below 0")
 	}
-	if f.LossesBorne < 0 {
+	if f.ToleratedLosses < 0 {
 		p.add("lossesBorne", "must not be below 0")
 	}
 }
 
-// StopWithin is how long a planned stop may take.
-func (f *Fleet) StopWithin() time.Duration {
+// StopTimeout returns the longest time that a planned stop may take.
+func (f *Fleet) StopTimeout() time.Duration {
 	if f.StopSeconds <= 0 {
-		return defaultStop
+		return defaultStopTimeout
 	}
 	return time.Duration(f.StopSeconds * float64(time.Second))
 }
 
-// Heartbeat is the pause between two announcements of a server.
+// Heartbeat returns the interval between two announcements of a server.
 func (f *Fleet) Heartbeat() time.Duration {
 	if f.HeartbeatMillis <= 0 {
-		return defaultBeat
+		return defaultHeartbeat
 	}
 	return time.Duration(f.HeartbeatMillis * float64(time.Millisecond))
 }
 
-// RepeatWindow is the time over which the bound of repeats holds.
+// RepeatWindow returns the length of the window in which retries are bounded.
 func (f *Fleet) RepeatWindow() time.Duration {
 	if f.RepeatWindowSeconds <= 0 {
-		return defaultRepeat
+		return defaultRepeatWindow
 	}
 	return time.Duration(f.RepeatWindowSeconds * float64(time.Second))
 }
 
-// VersionWithin is within what time a named version must be in force.
-func (f *Fleet) VersionWithin() time.Duration {
+// MaxVersionDelay returns the time within which a newly named adapter version must
+// be in force.
+func (f *Fleet) MaxVersionDelay() time.Duration {
 	if f.VersionMillis <= 0 {
-		return defaultVersion
+		return defaultMaxVersionDelay
 	}
 	return time.Duration(f.VersionMillis * float64(time.Millisecond))
 }
 
-// MemoryLimit is the most memory in bytes.
+// MemoryLimit returns the most memory that the process may use, in bytes.
 func (f *Fleet) MemoryLimit() int64 {
 	limit := f.MemoryMB
 	if limit <= 0 {
--- a/internal/settings/peertls.go
+++ b/internal/settings/peertls.go
@@ -1,15 +1,15 @@
 package settings
 
-// PeerTLS names the files that secure traffic between the system's processes.
-// All are PEM and are read again when they change.
+// PeerTLS holds the paths of the files that secure traffic between the system's
+// processes. All are in PEM format and are reloaded when they change.
 type PeerTLS struct {
-	// Certificate is this instance's certificate chain; it must hold the
-	// instance's IP number.
+	// Certificate is the file of this instance's certificate chain. The
+	// certificate must contain the instance's IP address.
 	Certificate string `json:"certificate"`
-	// Key is the certificate's private key.
+	// Key is the file of the certificate's private key.
 	Key string `json:"key"`
-	// Authority holds the certificates of the authority that signs the
-	// system's processes, and no one else.
+	// Authority is the file of the CA certificates. The authority must sign
+	// certificates for the system's processes only.
 	Authority string `json:"authority"`
 }
 
--- a/internal/settings/problems.go
+++ b/internal/settings/problems.go
@@ -9,7 +9,7 @@
 	"github.com/rosemarypass/rosemarypass/coord/catalogue"
 )
 
-// Problem is one thing that is wrong with a settings file.
+// Problem describes one error in a settings file.
 type Problem struct {
 	File string
 	// Line is the 1-based line of the value, or of the object that lacks it.
@@ -24,10 +24,11 @@
 	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Path, p.Message)
 }
 
-// InvalidError holds every problem of a settings file, in the order found.
+// InvalidError holds all problems of a settings file, in the order in which they
+// were found.
 type InvalidError struct{ Problems []Problem }
 
-// Error lists one problem a line.
+// Error lists the problems, one per line.
 func (e *InvalidError) Error() string {
 	lines := make([]string, len(e.Problems))
 	for i, p := range e.Problems {
@@ -36,7 +37,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// problems collects what is wrong, so that an operator mends a file in one go.
+// problems collects all errors of a settings file, so that an operator can fix
+// them in one pass.
 type problems struct {
 	file     string
 	document document
@@ -75,11 +77,11 @@
 	}
 	host, port, err := net.SplitHostPort(value)
 	if err != nil || port == "" {
-		p.add(path, fmt.Sprintf(`%q is not an address: write host and port, such as "10.0.1.21:8080"`, value))
+		p.add(path, fmt.Sprintf(`%q is not an address: use host and port, such as "10.0.1.21:8080"`, value))
 		return
 	}
 	if host != "" && net.ParseIP(host) == nil {
-		p.add(path, fmt.Sprintf("%q must name its host by IP number", value))
+		p.add(path, fmt.Sprintf("%q must have an IP address as its host", value))
 	}
 }
 
@@ -89,16 +91,16 @@
 	}
 }
 
-func (p *problems) checkDuration(path string, value Duration, least, most time.Duration) {
-	if d := time.Duration(value); d < least || d > most {
-		p.add(path, fmt.Sprintf("%s is out of range: from %s to %s", d, least, most))
+func (p *problems) checkDuration(path string, value Duration, minimum, maximum time.Duration) {
+	if d := time.Duration(value); d < minimum || d > maximum {
+		p.add(path, fmt.Sprintf("%s is out of range: from %s to %s", d, minimum, maximum))
 	}
 }
 
 func (p *problems) checkHashes(path string, hashes []string) {
 	for _, hash := range hashes {
 		if len(hash) != hashLength || strings.Trim(hash, "0123456789abcdef") != "" {
-			p.add(path, "must hold SHA-256 digests as 64 lower-case hex digits, never keys: make one with `rosemaryctl key make`")
+			p.add(path, "must hold SHA-256 digests as 64 lower-case hex digits, never keys: create one with `rosemaryctl key make`")
 			return
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,5 @@
-// Package settings reads and checks a daemon's settings file: JSON with comments.
+// Package settings reads and validates a daemon's settings file, which is JSON
+// with comments.
 package settings
 
 import (
@@ -12,45 +13,46 @@
 	"github.com/pkg/errors"
 )
 
-// Duration is written as text with a unit, such as "250ms".
+// Duration is a time.Duration that is encoded as text with a unit, such as "250ms".
 type Duration time.Duration
 
-// UnmarshalJSON refuses bare numbers, whose unit would be a guess.
+// UnmarshalJSON rejects bare numbers, because their unit would be ambiguous.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
-		return errors.Errorf("%s is not a duration: write text with a unit, such as \"250ms\"", data)
+		return errors.Errorf("%s is not a duration: use text with a unit, such as \"250ms\"", data)
 	}
 	parsed, err := time.ParseDuration(text)
 	if err != nil {
-		return errors.Errorf("%q is not a duration: write a number with a unit, such as \"250ms\"", text)
+		return errors.Errorf("%q is not a duration: use a number with a unit, such as \"250ms\"", text)
 	}
 	*d = Duration(parsed)
 	return nil
 }
 
-// MarshalJSON writes the text form.
+// MarshalJSON returns the text form.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).String()) }
 
 // Settings configure one daemon.
 type Settings struct {
-	// Instance names the daemon; unique in the deployment.
+	// Instance is the daemon's name. It must be unique in the deployment.
 	Instance string `json:"instance"`
-	// DataCentre is where the daemon runs.
+	// DataCentre is the name of the data centre that the daemon runs in.
 	DataCentre string `json:"dataCentre"`
-	// StatusListen serves /healthz, /readyz and /debug/vars to the platform.
+	// StatusListen is the address that serves /healthz, /readyz and /debug/vars to
+	// the platform.
 	StatusListen string `json:"statusListen,omitempty"`
 	// ControlPeers are the JSON-RPC addresses of the control instances.
 	ControlPeers []string `json:"controlPeers"`
 	// PeerTLS secures the traffic between the system's processes.
 	PeerTLS *PeerTLS `json:"peerTLS,omitempty"`
-	// PlaintextPeers allows that traffic without TLS.
+	// PlaintextPeers allows traffic between the system's processes without TLS.
 	PlaintextPeers bool `json:"plaintextPeers,omitempty"`
 
-	// Packing weighs batch efficiency against load stalls, from 0 to 1; one
-	// value for the whole deployment. At 0 work is spread over all backend
+	// Packing weighs batch efficiency against load stalls, from 0 to 1. The whole
+	// deployment must use one value. At 0 work is spread over all backend
 	// servers, so that most adapters stay loaded; at 1 it is packed on as few
-	// as can carry it, so that their batches are full.
+	// servers as have the capacity for it, so that their batches are full.
 	Packing float64 `json:"packing,omitempty"`
 
 	Entry     *Entry    `json:"entry,omitempty"`
@@ -59,7 +61,7 @@
 	Telemetry Telemetry `json:"telemetry"`
 }
 
-// Load reads, parses and checks a settings file.
+// Load reads, parses and validates a settings file.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -68,8 +70,8 @@
 	return Parse(path, data)
 }
 
-// Parse parses and checks settings; name is used in error messages. Settings
-// that break a rule give an *InvalidError with every problem found.
+// Parse parses and validates settings; name is used in error messages. Parse
+// returns an *InvalidError with all problems found if the settings are invalid.
 func Parse(name string, data []byte) (Settings, error) {
 	parsed, err := parseDocument(bytes.Clone(data))
 	if err != nil {
@@ -110,7 +112,7 @@
 	}
 	s.checkPeers(p)
 	if s.Packing < 0 || s.Packing > 1 {
-		p.add("packing", "is out of range: from 0 (least load stalls) to 1 (fullest batches)")
+		p.add("packing", "is out of range: from 0 (fewest load stalls) to 1 (fullest batches)")
 	}
 	if s.Entry != nil {
 		s.Entry.check(p)
@@ -132,20 +134,21 @@
 	for i, peer := range s.ControlPeers {
 		p.checkAddress("controlPeers", peer)
 		if slices.Contains(s.ControlPeers[:i], peer) {
-			p.add("controlPeers", peer+" is listed twice: keep one")
+			p.add("controlPeers", peer+" is listed twice: remove one")
 		}
 	}
 	switch {
 	case s.PeerTLS != nil && s.PlaintextPeers:
-		p.add("plaintextPeers", "clashes with peerTLS: keep one of them")
+		p.add("plaintextPeers", "conflicts with peerTLS: remove one of them")
 	case s.PeerTLS == nil && !s.PlaintextPeers:
-		p.add("peerTLS", `certificates are required between processes; write "plaintextPeers": true to go without`)
+		p.add("peerTLS", `certificates are required between processes; set "plaintextPeers": true to allow plaintext`)
 	case s.PeerTLS != nil:
 		s.PeerTLS.check(p)
 	}
 }
 
-// DrainTimeout is the longest that a planned stop may take.
+// DrainTimeout returns the longest time that a planned stop may take: the maximum
+// over the daemon's roles.
 func (s *Settings) DrainTimeout() time.Duration {
 	var longest Duration
 	if s.Entry != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/rosemarypass/rosemarypass/internal/settings"
 )
 
-const wholeEntry = `{
+const validEntry = `{
   // a comment
   "instance": "entry-1",
   "dataCentre": "amman-a",
@@ -21,8 +21,8 @@
   },
 }`
 
-func TestParseKeepsValuesAndSetsDefaults(t *testing.T) {
-	s, err := settings.Parse("entry.jsonc", []byte(wholeEntry))
+func TestParseSetsDefaults(t *testing.T) {
+	s, err := settings.Parse("entry.jsonc", []byte(validEntry))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,9 +34,9 @@
 	}
 }
 
-func TestProblemsNameFileLineAndWhatWouldBeRight(t *testing.T) {
+func TestProblemsReportFileLineAndRemedy(t *testing.T) {
 	cases := []struct{ name, old, new, want string }{
-		{"unknown key", `"dialTimeout"`, `"dialTimeuot"`, "f:9: entry.dialTimeuot: is not a setting; did you mean dialTimeout?"},
+		{"unknown key", `"dialTimeout"`, `"dialTimeuot"`, "f:9: entry.dialTimeuot: is not a known setting; did you mean dialTimeout?"},
 		{"bare number", `"250ms"`, `250`, "f:9: entry.dialTimeout: 250 is not a duration"},
 		{"wrong unit", `"250ms"`, `"250 millis"`, `f:9: entry.dialTimeout: "250 millis" is not a duration`},
 		{"out of range", `"250ms"`, `"2h"`, "f:9: entry.dialTimeout: 2h0m0s is out of range: from 1ms to 1m0s"},
@@ -46,20 +46,20 @@
 		{"not a list", `["127.0.0.1:7201"]`, `"127.0.0.1:7201"`, "f:5: controlPeers: must be a list"},
 		{"missing value", `"instance": "entry-1",`, ``, "f:1: instance: a name is required"},
 		{"missing in a role", `"listen": "127.0.0.1:8080",`, ``, "f:7: entry.listen: an address is required"},
-		{"host name", `127.0.0.1:8080`, `localhost:8080`, "must name its host by IP number"},
+		{"host name", `127.0.0.1:8080`, `localhost:8080`, "must have an IP address as its host"},
 		{"packing", `"plaintextPeers": true,`, `"plaintextPeers": true, "packing": 1.5,`, "f:6: packing: is out of range: from 0"},
 		{"no port", `127.0.0.1:8080`, `127.0.0.1`, `f:8: entry.listen: "127.0.0.1" is not an address`},
-		{"written twice", `"dialTimeout": "250ms",`, `"listen": "127.0.0.1:1",`, "f:9: entry.listen: is written twice"},
+		{"set twice", `"dialTimeout": "250ms",`, `"listen": "127.0.0.1:1",`, "f:9: entry.listen: is set twice"},
 		{"no TLS decision", `"plaintextPeers": true,`, ``, "f:1: peerTLS: certificates are required"},
-		{"clash", `"plaintextPeers": true,`, `"plaintextPeers": true, "peerTLS": {},`, "f:6: plaintextPeers: clashes with peerTLS"},
+		{"conflict", `"plaintextPeers": true,`, `"plaintextPeers": true, "peerTLS": {},`, "f:6: plaintextPeers: conflicts with peerTLS"},
 		{"trace file", `"plaintextPeers": true,`, `"plaintextPeers": true, "telemetry": {"traces": "file"},`, "f:6: telemetry.traceFile: a path is required"},
-		{"log not among the peers", `"plaintextPeers": true,`, `"plaintextPeers": true, "control": {"peerListen": "127.0.0.1:7202", "dataFolder": "d"},`, "f:6: control.peerAddress: 127.0.0.1:7202 is not in controlPeers"},
-		{"founding without a disk", `"plaintextPeers": true,`, `"plaintextPeers": true, "control": {"bootstrap": true},`, "f:6: control.bootstrap: needs control.dataFolder"},
-		{"operator key in clear", `"plaintextPeers": true,`, `"plaintextPeers": true, "control": {"operatorKeyHashes": ["secret"]},`, "f:6: control.operatorKeyHashes: must hold SHA-256 digests"},
+		{"peer address not among the peers", `"plaintextPeers": true,`, `"plaintextPeers": true, "control": {"peerListen": "127.0.0.1:7202", "dataFolder": "d"},`, "f:6: control.peerAddress: 127.0.0.1:7202 is not in controlPeers"},
+		{"bootstrap without a data folder", `"plaintextPeers": true,`, `"plaintextPeers": true, "control": {"bootstrap": true},`, "f:6: control.bootstrap: needs control.dataFolder"},
+		{"operator key in plain text", `"plaintextPeers": true,`, `"plaintextPeers": true, "control": {"operatorKeyHashes": ["secret"]},`, "f:6: control.operatorKeyHashes: must hold SHA-256 digests"},
 	}
 	for _, c := range cases {
-		changed := strings.Replace(wholeEntry, c.old, c.new, 1)
-		if changed == wholeEntry {
+		changed := strings.Replace(validEntry, c.old, c.new, 1)
+		if changed == validEntry {
 			t.Fatalf("%s: the case changes nothing", c.name)
 		}
 		_, err := settings.Parse("f", []byte(changed))
@@ -82,7 +82,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(wholeEntry))
+	f.Add([]byte(validEntry))
 	f.Add([]byte(`{"entry":null,"controlPeers":[null]}`))
 	f.Add([]byte(`[]`))
 	f.Add([]byte(`{"entry":{"listen":{}},"agent":[],"control":1}`))
--- a/internal/settings/telemetry.go
+++ b/internal/settings/telemetry.go
@@ -14,12 +14,12 @@
 type Telemetry struct {
 	// Traces is one of off, stdout, file, otlp.
 	Traces string `json:"traces"`
-	// TraceFile is the path for "file".
+	// TraceFile is the path of the trace file if Traces is "file".
 	TraceFile string `json:"traceFile,omitempty"`
-	// TraceEndpoint is the collector's URL for "otlp".
+	// TraceEndpoint is the collector's URL if Traces is "otlp".
 	TraceEndpoint string `json:"traceEndpoint,omitempty"`
-	// TraceShare is the share of callers' requests that are traced, from 0 to
-	// 1; 0 stands for 1. A caller's own sampling decision is kept.
+	// TraceShare is the fraction of callers' requests that are traced, from 0 to
+	// 1; 0 means the default of 1. A caller's own sampling decision is kept.
 	TraceShare float64 `json:"traceShare,omitempty"`
 }
 
@@ -35,10 +35,10 @@
 			p.add("telemetry.traceEndpoint", `a URL is required with "traces": "otlp"`)
 		}
 	default:
-		p.add("telemetry.traces", fmt.Sprintf("%q is none of off, stdout, file, otlp", t.Traces))
+		p.add("telemetry.traces", fmt.Sprintf("%q is not one of off, stdout, file, otlp", t.Traces))
 	}
 	if t.TraceShare < 0 || t.TraceShare > 1 {
-		p.add("telemetry.traceShare", "must lie between 0 and 1")
+		p.add("telemetry.traceShare", "must be from 0 to 1")
 	}
 	if t.TraceFile != "" && t.Traces != TracesFile {
 		p.add("telemetry.traceFile", `has no effect unless "traces" is "file"`)
