--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet runs one process of a deployment whose processes find each
-// other by seeds: an entry, or an agent beside an engine. How callers, servers
-// and operators speak is the Platform's matter.
+// Package fleet runs one process of a deployment in which processes discover each
+// other through seeds: an entry, or an agent next to an engine. The Platform
+// implements the protocols of callers, backend servers and operators.
 package fleet
 
 import (
@@ -37,83 +37,87 @@
 )
 
 const (
-	// balancerNotice is how long the balancer may still send callers here after
-	// the first answer that this entry is not ready: two questions a second
-	// apart, and a connection under way.
-	balancerNotice = 2300 * time.Millisecond
-	// stopMargin is kept from the time that a stop may take.
+	// balancerDrainDelay is how long the load balancer may still send callers to
+	// this entry after the first readiness check has failed: two checks one second
+	// apart, plus a connection that is being established.
+	balancerDrainDelay = 2300 * time.Millisecond
+	// stopMargin is subtracted from the stop timeout, so that the process exits
+	// before the platform's limit.
 	stopMargin = 500 * time.Millisecond
-	// headerTimeout bounds a caller's header, idleTimeout an idle connection;
-	// both lie above what configurations allow callers.
+	// headerTimeout bounds the time to read a caller's request header, idleTimeout
+	// the time that a connection may be idle. Both are above the limits that
+	// configurations set for callers.
 	headerTimeout = 30 * time.Second
 	idleTimeout   = 10 * time.Minute
-	// headerBytes bounds a header.
-	headerBytes = 256 << 10
-	// versionGraceShare is the part of the time in which a named version must
-	// be in force for which the old one may still be started.
-	versionGraceShare = 0.4
-	// memoryShare of the limit is the collector's goal.
-	memoryShare = 0.7
-	// garbagePercent is how much garbage may pile up beside what is in use, in
-	// percent of it. The peak is paid for, and collecting takes little of a core.
-	garbagePercent = 35
+	// maxHeaderBytes bounds the size of a request header.
+	maxHeaderBytes = 256 << 10
+	// versionGraceRatio is the fraction of the maximum version delay during which
+	// the old adapter version may still be started.
+	versionGraceRatio = 0.4
+	// memoryLimitRatio is the fraction of the process's memory limit that is set
+	// as the garbage collector's soft limit.
+	memoryLimitRatio = 0.7
+	// gcPercent is how much the heap may grow over the live heap before the next
+	// garbage collection, in percent. It is low because peak memory is paid for,
+	// while collecting takes little CPU time.
+	gcPercent = 35
 )
 
-// Platform translates between a deployment's protocol and the product.
+// Platform translates between a deployment's protocols and this system.
 type Platform struct {
-	// Edge reads and writes the headers of requests, Decode configurations.
+	// Edge reads and writes the headers of requests; Decode decodes configurations.
 	Edge   gateway.Edge
 	Decode mesh.Decode
-	// Control serves backend servers and operators.
+	// Control returns the handler that serves backend servers and operators.
 	Control func(m *mesh.Mesh, log *zap.Logger) http.Handler
-	// Engine speaks to the engine at an address.
+	// Engine returns a client of the engine at the given address.
 	Engine func(address string) sidecar.Engine
-	// ReadyPath is where the balancer asks whether an entry is ready.
+	// ReadyPath is the URL path of the load balancer's readiness check of an entry.
 	ReadyPath string
 }
 
 // process is one running process.
 type process struct {
-	platform Platform
-	settings settings.Fleet
-	log      *zap.Logger
-	mesh     *mesh.Mesh
-	gateway  *gateway.Gateway
-	callers  *http.Server
-	duties   sync.WaitGroup
+	platform   Platform
+	settings   settings.Fleet
+	log        *zap.Logger
+	mesh       *mesh.Mesh
+	gateway    *gateway.Gateway
+	callers    *http.Server
+	goroutines sync.WaitGroup
 }
 
-// linesDropped counts lines that the bounded log left out.
-var linesDropped = telemetry.Counter("log_lines_dropped")
+// droppedLines counts the lines that the bounded logger dropped.
+var droppedLines = telemetry.Counter("log_lines_dropped")
 
-// Run runs a role by the settings at a path until the platform stops the
-// process.
+// Run runs a process of the given role with the settings file at path until the
+// platform stops the process.
 func Run(role, path string, platform Platform) error {
-	// A change of the settings may be told at any time; who does not listen for it is
-	// ended by it.
-	changes := make(chan os.Signal, 1)
-	signal.Notify(changes, syscall.SIGHUP)
-	stops := make(chan os.Signal, 1)
+	// The platform may send SIGHUP at any time to announce changed settings. The
+	// handler is installed first because an unhandled SIGHUP terminates the process.
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	stopSignals := make(chan os.Signal, 1)
 	s, err := settings.LoadFleet(path)
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(1)
-	debug.SetGCPercent(garbagePercent)
-	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryLimit())))
-	log := telemetry.NewBoundedLogger(s.Instance, linesDropped)
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(memoryLimitRatio * float64(s.MemoryLimit())))
+	log := telemetry.NewBoundedLogger(s.Instance, droppedLines)
 	defer func() { _ = log.Sync() }()
 	p := &process{platform: platform, settings: s, log: log}
 	log.Info("start", zap.String("role", role), zap.Strings("seeds", s.Seeds), zap.Bool("bootstrap", s.Bootstrap), zap.String("dataFolder", s.DataFolder))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if err := p.start(ctx, role); err != nil {
-		log.Error("the start failed", telemetry.Cause(err))
+		log.Error("start failed", telemetry.Cause(err))
 		return err
 	}
-	signal.Notify(stops, syscall.SIGTERM, syscall.SIGINT)
-	p.duties.Go(func() { p.keepSettings(ctx, path, changes) })
-	<-stops
+	signal.Notify(stopSignals, syscall.SIGTERM, syscall.SIGINT)
+	p.goroutines.Go(func() { p.watchSettings(ctx, path, reloadSignals) })
+	<-stopSignals
 	p.stop(cancel)
 	log.Info("stopped")
 	return nil
@@ -138,10 +142,10 @@
 	case RoleAgent:
 		s := sidecar.New(sidecar.Options{
 			Name: p.settings.Instance, Service: p.settings.Service,
-			VersionGrace: time.Duration(versionGraceShare * float64(p.settings.MaxVersionDelay())), Permit: p.mesh.Permit,
+			VersionGrace: time.Duration(versionGraceRatio * float64(p.settings.MaxVersionDelay())), Permit: p.mesh.Permit,
 		}, p.platform.Engine(p.settings.Engine), documents, p.log)
 		maps.Copy(handlers, s.Handlers())
-		p.duties.Go(func() { s.Run(ctx) })
+		p.goroutines.Go(func() { s.Run(ctx) })
 	default:
 		return errors.Errorf("role %q is neither %s nor %s", role, RoleEntry, RoleAgent)
 	}
@@ -153,18 +157,19 @@
 		return err
 	}
 	server := rpc.NewServer(handlers)
-	p.duties.Go(func() { _ = server.Serve(ctx, listener) })
-	p.duties.Go(func() {
+	p.goroutines.Go(func() { _ = server.Serve(ctx, listener) })
+	p.goroutines.Go(func() {
 		<-ctx.Done()
 		_ = listener.Close()
 		server.Close()
 	})
-	p.duties.Go(func() { p.mesh.Run(ctx) })
+	p.goroutines.Go(func() { p.mesh.Run(ctx) })
 	return nil
 }
 
-// peerAddress is where other processes call this one. An agent may share its
-// machine with nothing else of ours, so each role has a port of its own.
+// peerAddress returns the address at which other processes call this one. Each
+// role has its own fixed port, which suffices because an agent does not share its
+// machine with other processes of the system.
 func (p *process) peerAddress(role string) string {
 	return net.JoinHostPort(p.settings.IP, strconv.Itoa(p.port(role)))
 }
@@ -176,7 +181,8 @@
 	return p.settings.PeerPorts[0]
 }
 
-// peerSeeds turns control addresses into those for traffic between processes.
+// peerSeeds converts the control addresses of seeds to their addresses for traffic
+// between processes.
 func (p *process) peerSeeds(seeds []string) []string {
 	var peers []string
 	for _, seed := range seeds {
@@ -193,7 +199,7 @@
 		RepeatRatio: p.settings.RepeatRatio, RepeatSlack: p.settings.RepeatSlack, RepeatWindow: p.settings.RepeatWindow(),
 		Heartbeat: p.settings.Heartbeat(), StopWithin: p.settings.StopTimeout() - stopMargin, Newest: p.mesh.Newest,
 	}, p.platform.Edge, p.mesh, p.log)
-	p.duties.Go(func() { p.gateway.Run(ctx) })
+	p.goroutines.Go(func() { p.gateway.Run(ctx) })
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+p.platform.ReadyPath, p.ready)
 	if _, err := p.serve(p.settings.ReadyListen, ready); err != nil {
@@ -207,7 +213,8 @@
 	return err
 }
 
-// startStatus serves counters and histograms to the platform and operators.
+// startStatus starts serving counters, histograms and a health check to the
+// platform and operators.
 func (p *process) startStatus() error {
 	status := http.NewServeMux()
 	status.Handle("GET /debug/vars", expvar.Handler())
@@ -231,64 +238,66 @@
 		return nil, errors.Wrap(err, "listen")
 	}
 	server := &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: headerBytes,
+		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: zap.NewStdLog(zap.NewNop()), ConnContext: answer.ConnContext,
 	}
-	p.duties.Go(func() { _ = server.Serve(listener) })
+	p.goroutines.Go(func() { _ = server.Serve(listener) })
 	return server, nil
 }
 
-// keepSettings greets new seeds when the settings change, until ctx ends. A stop
-// waits for nothing of it: the file may hang, and the mesh may be busy.
-func (p *process) keepSettings(ctx context.Context, path string, changes <-chan os.Signal) {
+// watchSettings reloads the settings on each signal and periodically, until ctx
+// ends, so that the mesh contacts new seeds. A stop does not wait for a reload in
+// progress: reading the file may hang, and the mesh may be busy.
+func (p *process) watchSettings(ctx context.Context, path string, reloadSignals <-chan os.Signal) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-changes:
+		case <-reloadSignals:
 		case <-ticker.C:
 		}
 		p.reload(path)
 	}
 }
 
-// reloadInterval is how often the settings file is read again: it may change
-// without a signal.
+// reloadInterval is the interval between reloads of the settings file, which may
+// change without a signal.
 const reloadInterval = 2 * time.Second
 
 func (p *process) reload(path string) {
 	s, err := settings.LoadFleet(path)
 	if err != nil {
-		p.log.Warn("the settings cannot be read; the former ones stay", telemetry.Cause(err))
+		p.log.Warn("the settings cannot be read; keeping the previous ones", telemetry.Cause(err))
 		return
 	}
 	p.mesh.SetSeeds(p.peerSeeds(s.Seeds))
 }
 
-// handOverTimeout bounds the transfer of the log's leadership.
-const handOverTimeout = 3 * time.Second
+// leadershipTransferTimeout bounds the transfer of leadership in the replicated log.
+const leadershipTransferTimeout = 3 * time.Second
 
-func (p *process) handOver(ctx context.Context) {
-	ctx, end := context.WithTimeout(ctx, handOverTimeout)
-	defer end()
+func (p *process) transferLeadership(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, leadershipTransferTimeout)
+	defer cancel()
 	p.mesh.Stop(ctx)
 }
 
-// stop lets what is under way end.
+// stop performs a planned stop: it transfers leadership and lets requests in
+// progress finish within the stop timeout.
 func (p *process) stop(cancel func()) {
-	time.AfterFunc(p.settings.StopTimeout()-stopMargin/2, p.endNow)
+	time.AfterFunc(p.settings.StopTimeout()-stopMargin/2, p.forceExit)
 	p.log.Info("stop begins")
-	ctx, end := context.WithTimeout(context.Background(), p.settings.StopTimeout()-stopMargin)
-	defer end()
+	ctx, cancelTimeout := context.WithTimeout(context.Background(), p.settings.StopTimeout()-stopMargin)
+	defer cancelTimeout()
 	if p.gateway != nil {
 		p.gateway.Stop()
-		// Without a quorum nobody takes the leadership over; callers' requests
-		// must have their time all the same.
-		go p.handOver(ctx)
-		notice := time.NewTimer(balancerNotice)
-		<-notice.C
+		// The transfer runs concurrently: without a quorum it cannot succeed, and it
+		// must not reduce the time that callers' requests have left.
+		go p.transferLeadership(ctx)
+		timer := time.NewTimer(balancerDrainDelay)
+		<-timer.C
 		if err := p.callers.Shutdown(ctx); err != nil {
 			p.log.Warn("requests were cut off by the stop", telemetry.Cause(err))
 		}
@@ -296,9 +305,10 @@
 	cancel()
 }
 
-// endNow ends a process whose stop has taken all the time that it may: what is still
-// under way has been given up, and others wait for its end.
-func (p *process) endNow() {
+// forceExit exits a process whose planned stop has reached the time limit. Work
+// still in progress is abandoned, because the platform and other processes wait
+// for the exit.
+func (p *process) forceExit() {
 	p.log.Error("the stop has taken all its time", zap.Int("goroutines", runtime.NumGoroutine()))
 	_ = p.log.Sync()
 	os.Exit(1)
