--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -20,50 +20,53 @@
 	"github.com/rosemarypass/rosemarypass/internal/wait"
 )
 
-// Errors that end a call. Test for them with errors.Is.
+// Errors that a call returns. Test for them with errors.Is.
 var (
 	// ErrConflict means that another writer changed the object first.
 	ErrConflict = errors.New("another writer changed the object first")
-	// ErrInvalid means that control refused the change by a rule.
+	// ErrInvalid means that the control instance rejected the change because it
+	// violates a rule.
 	ErrInvalid = errors.New("the change was refused")
 	// ErrNotFound means that the object does not exist.
 	ErrNotFound = errors.New("not found")
 	// ErrUnauthorized means that the operator key is unknown.
 	ErrUnauthorized = errors.New("the operator key is unknown")
-	// ErrUnknown means that a change was sent and no control instance gave a
-	// final answer: it may or may not have been accepted. Sending it again
-	// under the same operation id is safe.
+	// ErrUnknown means that a change was sent but no control instance gave a
+	// final answer: the change may or may not have been accepted. Sending it again
+	// under the same operation ID is safe.
 	ErrUnknown = errors.New("no control instance answered; the change may or may not have been accepted")
-	// ErrUnreachable means that no control instance answered, and that
-	// nothing was changed.
+	// ErrUnreachable means that no control instance answered and that nothing was
+	// changed.
 	ErrUnreachable = errors.New("no control instance answered; nothing was changed")
 )
 
 const (
 	defaultAttemptTimeout = 5 * time.Second
 	defaultRounds         = 3
-	roundPause            = 300 * time.Millisecond
+	roundDelay            = 300 * time.Millisecond
 	maxAnswerBytes        = 64 << 20
 )
 
 // Options configure a client.
 type Options struct {
-	// URLs are the operators' addresses of the control instances, tried in turn.
+	// URLs are the base URLs of the control instances' operator interfaces. They
+	// are tried in order.
 	URLs []string
 	// Key is the operator key.
 	Key string
-	// Operation is the operation id of the next change; empty draws one.
+	// Operation is the operation ID that changes are sent under; if it is empty, a
+	// random one is generated.
 	Operation string
-	// AttemptTimeout bounds one attempt at one instance.
+	// AttemptTimeout bounds one attempt to call one instance; 0 means 5 s.
 	AttemptTimeout time.Duration
-	// Rounds is how often all instances are tried.
+	// Rounds is the number of times that all instances are tried; 0 means 3.
 	Rounds int
-	// HTTP carries the calls; see Trusting.
+	// HTTP is the client for the calls, by default http.DefaultClient. See Trusting.
 	HTTP *http.Client
 }
 
-// Trusting returns an HTTP client that trusts control instances whose
-// certificates the authority in the PEM file has signed.
+// Trusting returns an HTTP client that trusts only server certificates signed by
+// an authority in the given PEM file.
 func Trusting(authorityFile string) (*http.Client, error) {
 	data, err := os.ReadFile(authorityFile)
 	if err != nil {
@@ -77,14 +80,14 @@
 	return &http.Client{Transport: transport}, nil
 }
 
-// Client calls the operators' interface.
+// Client is a client of the control instances' operator interface.
 type Client struct {
 	options     Options
 	unconfirmed atomic.Bool
 }
 
-// NewClient returns a client with defaults for the options that are zero, and
-// a random operation ID.
+// NewClient returns a client. Options that are zero get their defaults; an empty
+// operation ID is replaced by a random one.
 func NewClient(options Options) *Client {
 	if options.AttemptTimeout == 0 {
 		options.AttemptTimeout = defaultAttemptTimeout
@@ -101,14 +104,15 @@
 	return &Client{options: options}
 }
 
-// Operation is the operation id that changes are sent under.
+// Operation returns the operation ID that changes are sent under.
 func (c *Client) Operation() string { return c.options.Operation }
 
-// Unconfirmed reports whether an answer came from an instance that no quorum
-// had confirmed, so that a later change may be missing from it.
+// Unconfirmed reports whether any answer came from an instance without
+// confirmation by a quorum, so that the answer may lack recent changes.
 func (c *Client) Unconfirmed() bool { return c.unconfirmed.Load() }
 
-// RefusedError is a result other than ok. It wraps one of the errors above.
+// RefusedError is returned for a result with a code other than ok. It wraps
+// ErrConflict, ErrNotFound or ErrInvalid.
 type RefusedError struct {
 	Result state.Result
 	cause  error
@@ -120,22 +124,23 @@
 // Unwrap implements errors.Unwrap.
 func (e *RefusedError) Unwrap() error { return e.cause }
 
-// Get reads an object.
+// Get reads an object into the value that into points to.
 func (c *Client) Get(ctx context.Context, path string, into any) error {
 	return c.call(ctx, call{method: http.MethodGet, path: path, into: into, timeout: c.options.AttemptTimeout})
 }
 
-// Wait reads an object whose answer may take up to the given time longer.
-func (c *Client) Wait(ctx context.Context, path string, longer time.Duration, into any) error {
-	return c.call(ctx, call{method: http.MethodGet, path: path, into: into, timeout: c.options.AttemptTimeout + longer})
+// Wait reads an object like Get, with the timeout of an attempt extended by extra.
+func (c *Client) Wait(ctx context.Context, path string, extra time.Duration, into any) error {
+	return c.call(ctx, call{method: http.MethodGet, path: path, into: into, timeout: c.options.AttemptTimeout + extra})
 }
 
-// Change sends a change under the client's operation id.
+// Change sends a change under the client's operation ID.
 func (c *Client) Change(ctx context.Context, method, path string, body any) (state.Result, error) {
 	return c.ChangeAs(ctx, c.options.Operation, method, path, body)
 }
 
-// ChangeAs sends a change under the given operation id.
+// ChangeAs sends a change under the given operation ID, or without one if it is
+// empty.
 func (c *Client) ChangeAs(ctx context.Context, operation, method, path string, body any) (state.Result, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -158,52 +163,54 @@
 	method, path, operation string
 	body                    []byte
 	into                    any
-	// accepted reports whether into holds the word that a change is committed;
-	// it is nil for a reading.
+	// accepted reports whether the answer in into confirms that the change is
+	// committed; it is nil for a read.
 	accepted func() bool
 	timeout  time.Duration
 }
 
-// errNoWord means that something answered with success and did not say that the
-// change is committed.
-var errNoWord = errors.New("the answer does not say that the change was accepted")
+// errNotAcknowledged means that an answer with a success status does not confirm
+// that the change is committed.
+var errNotAcknowledged = errors.New("the answer does not say that the change was accepted")
 
-// call tries the instances in turn until one answers. An instance that has no
-// quorum answers 503; another one may have it.
+// call tries the instances in order until one gives a final answer. An instance
+// without a quorum answers 503; the call then goes to the next instance, which may
+// have one.
 func (c *Client) call(ctx context.Context, request call) error {
-	var last error
+	var lastErr error
 	sent := false
 	for round := range c.options.Rounds {
 		if round > 0 {
-			_ = wait.For(ctx, roundPause)
+			_ = wait.For(ctx, roundDelay)
 		}
 		for _, url := range c.options.URLs {
 			answered, err := c.attempt(ctx, url, request)
 			if answered {
 				return err
 			}
-			last = err
-			sent = sent || !neverSent(err)
+			lastErr = err
+			sent = sent || !notExecuted(err)
 		}
 		if ctx.Err() != nil {
 			break
 		}
 	}
 	if sent && request.method != http.MethodGet {
-		return errors.Wrap(ErrUnknown, last.Error())
+		return errors.Wrap(ErrUnknown, lastErr.Error())
 	}
-	return errors.Wrap(ErrUnreachable, last.Error())
+	return errors.Wrap(ErrUnreachable, lastErr.Error())
 }
 
-// neverSent reports whether the call changed nothing: the connection failed
-// before any byte could leave, or the instance says so.
-func neverSent(err error) bool {
+// notExecuted reports whether err proves that the call changed nothing: the
+// connection could not be established, so no byte was sent, or the instance
+// answered that the change was not accepted.
+func notExecuted(err error) bool {
 	var refused *notAcceptedError
 	var op *net.OpError
 	return errors.As(err, &refused) || errors.As(err, &op) && op.Op == "dial"
 }
 
-// attempt reports whether the answer is final.
+// attempt sends the call to one instance and reports whether its answer is final.
 func (c *Client) attempt(ctx context.Context, url string, request call) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, request.timeout)
 	defer cancel()
@@ -223,20 +230,20 @@
 		return false, serverError(response.Status, data)
 	}
 	if response.StatusCode == http.StatusOK {
-		err := read(data, request)
+		err := decodeAnswer(data, request)
 		return err == nil, err
 	}
 	return true, refusal(response.StatusCode, data)
 }
 
-// read takes a success. One that cannot be read is not final: another instance
-// may know.
-func read(data []byte, request call) error {
+// decodeAnswer decodes the body of an answer with a success status. If it returns
+// an error, the answer is not final: another instance may have a valid one.
+func decodeAnswer(data []byte, request call) error {
 	if err := json.Unmarshal(data, request.into); err != nil {
 		return errors.Wrap(err, "parse answer")
 	}
 	if request.accepted != nil && !request.accepted() {
-		return errNoWord
+		return errNotAcknowledged
 	}
 	return nil
 }
@@ -253,7 +260,7 @@
 	return c.options.HTTP.Do(r)
 }
 
-// refusal is the error that a status below 500 stands for.
+// refusal returns the error for a status below 500 other than 200.
 func refusal(status int, data []byte) error {
 	if status == http.StatusUnauthorized {
 		return ErrUnauthorized
@@ -276,7 +283,7 @@
 	}
 }
 
-// notAcceptedError is the word of a control instance that a change was not
+// notAcceptedError means that a control instance answered that a change was not
 // accepted and never will be.
 type notAcceptedError struct{ message string }
 
--- a/internal/operator/client_test.go
+++ b/internal/operator/client_test.go
@@ -9,11 +9,11 @@
 	"github.com/pkg/errors"
 )
 
-// An operator's change reaches an address at which something else answers now,
-// or an answer that says less than it should. Only the word of a control instance
-// that the change is committed may pass for that; anything else leaves it open,
-// and the change may be sent again under its id.
-func TestOnlyTheWordOfControlAcceptsAChange(t *testing.T) {
+// The address of a control instance can be taken over by another HTTP server, and
+// an answer can be truncated or incomplete. Only a result that confirms the commit
+// may count as acceptance. After any other answer the outcome is unknown
+// (ErrUnknown), and the change may be sent again under its operation ID.
+func TestChangeRequiresCommittedResult(t *testing.T) {
 	for body, accepted := range map[string]bool{
 		`{"code":"ok","index":7}`: true, `{}`: false, `null`: false, `{"index":7}`: false, `{"code":"ok","ind`: false, ``: false, `hello`: false,
 	} {
@@ -21,7 +21,7 @@
 		client := NewClient(Options{URLs: []string{server.URL}, Rounds: 1})
 		result, err := client.Change(t.Context(), http.MethodPut, "/admin/v1/models/m", struct{}{})
 		if (err == nil) != accepted || err != nil && !errors.Is(err, ErrUnknown) {
-			t.Errorf("%q gives %+v, %v", body, result, err)
+			t.Errorf("body %q: got %+v, %v", body, result, err)
 		}
 		server.Close()
 	}
--- a/internal/operator/document.go
+++ b/internal/operator/document.go
@@ -14,7 +14,7 @@
 	"github.com/rosemarypass/rosemarypass/coord/state"
 )
 
-// Export reads the whole configuration.
+// Export returns the whole configuration without revisions.
 func (c *Client) Export(ctx context.Context) (Document, error) {
 	current, err := c.readAll(ctx)
 	if err != nil {
@@ -54,20 +54,20 @@
 	return d, err
 }
 
-// Outcome is what an import did with one object.
+// Outcome is the result of an import for one object.
 type Outcome string
 
 const (
-	// Unchanged means that the object stood as the document has it.
+	// Unchanged means that the object already matched the document.
 	Unchanged Outcome = "unchanged"
 	// Written means that the object was created or changed.
 	Written Outcome = "written"
-	// Failed means that the object stands as before, or that its fate is
-	// unknown; importing again settles it.
+	// Failed means that the object is unchanged, or that it is unknown whether it
+	// was written; importing again resolves this.
 	Failed Outcome = "failed"
 )
 
-// Imported reports on one object.
+// Imported is the report of an import on one object.
 type Imported struct {
 	Object  string  `json:"object"`
 	Outcome Outcome `json:"outcome"`
@@ -75,13 +75,14 @@
 	Index   uint64  `json:"index,omitempty"`
 }
 
-// importParallel is how many objects an import writes at once.
-const importParallel = 16
+// importConcurrency is the number of objects that an import writes concurrently.
+const importConcurrency = 16
 
-// Import writes the objects of a document that differ from what stands, and
-// leaves all others alone. Every object names the revision that was read just
-// before, so that importing twice changes nothing and a racing writer is never
-// overwritten unseen. Objects that the document leaves out stay.
+// Import writes the objects of a document that differ from the current
+// configuration and leaves all others unchanged, including objects that the
+// document does not contain. Each write carries the revision that was read just
+// before. Importing a document twice therefore changes nothing, and a concurrent
+// write is never silently overwritten.
 func (c *Client) Import(ctx context.Context, wanted Document) ([]Imported, error) {
 	current, err := c.readAll(ctx)
 	if err != nil {
@@ -100,7 +101,8 @@
 	return report, nil
 }
 
-// step is the write of one object, nil requests for one that stands already.
+// step writes one object. It has no requests if the object already matches the
+// document.
 type step struct {
 	object   string
 	requests []request
@@ -113,13 +115,13 @@
 
 func (c *Client) runSteps(ctx context.Context, steps []step) []Imported {
 	report := make([]Imported, len(steps))
-	room := make(chan struct{}, importParallel)
+	semaphore := make(chan struct{}, importConcurrency)
 	var running sync.WaitGroup
 	for i, s := range steps {
-		room <- struct{}{}
+		semaphore <- struct{}{}
 		running.Go(func() {
 			report[i] = c.runStep(ctx, s)
-			<-room
+			<-semaphore
 		})
 	}
 	running.Wait()
@@ -129,8 +131,8 @@
 func (c *Client) runStep(ctx context.Context, s step) Imported {
 	done := Imported{Object: s.object, Outcome: Unchanged}
 	for _, r := range s.requests {
-		// Every write is idempotent by its revision or by its immutable
-		// name, so that no operation id needs to be remembered for it.
+		// Each write is idempotent through its revision or its immutable name,
+		// so that it needs no operation ID.
 		result, err := c.ChangeAs(ctx, "", r.method, r.path, r.body)
 		if err != nil {
 			return Imported{Object: s.object, Outcome: Failed, Error: err.Error()}
@@ -141,14 +143,14 @@
 }
 
 func modelSteps(wanted, current Document) []step {
-	known := make(map[string]bool)
+	existing := make(map[string]bool)
 	for _, model := range current.Models {
-		known[model.Name] = true
+		existing[model.Name] = true
 	}
 	var steps []step
 	for _, model := range wanted.Models {
 		s := step{object: "model/" + model.Name}
-		if !known[model.Name] {
+		if !existing[model.Name] {
 			s.requests = []request{{http.MethodPut, "/admin/v1/models/" + url.PathEscape(model.Name), model}}
 		}
 		steps = append(steps, s)
@@ -163,25 +165,25 @@
 	}
 	var steps []step
 	for _, adapter := range wanted.Adapters {
-		stands, exists := known[adapter.Ref]
+		existing, exists := known[adapter.Ref]
 		steps = append(steps, step{
 			object:   "adapter/" + adapter.Ref.String(),
-			requests: adapterRequests(adapter, stands, exists),
+			requests: adapterRequests(adapter, existing, exists),
 		})
 	}
 	return steps
 }
 
-func adapterRequests(wanted, stands catalogue.Adapter, exists bool) []request {
+func adapterRequests(wanted, existing catalogue.Adapter, exists bool) []request {
 	path := "/admin/v1/adapters/" + url.PathEscape(wanted.Ref.String())
-	living := wanted
-	living.Retired = false
-	put := request{http.MethodPut, path, living}
+	active := wanted
+	active.Retired = false
+	put := request{http.MethodPut, path, active}
 	retire := request{http.MethodPost, path + "/retire", struct{}{}}
 	switch {
-	case exists && stands == wanted:
+	case exists && existing == wanted:
 		return nil
-	case exists && stands == living:
+	case exists && existing == active:
 		return []request{retire}
 	case wanted.Retired:
 		return []request{put, retire}
@@ -191,64 +193,65 @@
 }
 
 func serviceSteps(wanted, current Document) []step {
-	known := make(map[string]catalogue.Service)
+	existing := make(map[string]catalogue.Service)
 	for _, service := range current.Services {
-		known[service.Name] = service
+		existing[service.Name] = service
 	}
 	var steps []step
 	for _, service := range wanted.Services {
-		service.Revision = known[service.Name].Revision
+		service.Revision = existing[service.Name].Revision
 		path := "/admin/v1/services/" + url.PathEscape(service.Name)
-		steps = append(steps, writeIfDifferent("service/"+service.Name, path, service, known[service.Name]))
+		steps = append(steps, writeIfChanged("service/"+service.Name, path, service, existing[service.Name]))
 	}
 	return steps
 }
 
 func serverSteps(wanted, current Document) []step {
-	known := make(map[string]state.Server)
+	existing := make(map[string]state.Server)
 	for _, server := range current.Servers {
-		known[server.Name] = server
+		existing[server.Name] = server
 	}
 	var steps []step
 	for _, server := range wanted.Servers {
-		server.Revision = known[server.Name].Revision
+		server.Revision = existing[server.Name].Revision
 		path := "/admin/v1/servers/" + url.PathEscape(server.Name)
-		steps = append(steps, writeIfDifferent("server/"+server.Name, path, server, known[server.Name]))
+		steps = append(steps, writeIfChanged("server/"+server.Name, path, server, existing[server.Name]))
 	}
 	return steps
 }
 
 func contractSteps(wanted, current Document) []step {
-	known := make(map[string]contract.Contract)
+	existing := make(map[string]contract.Contract)
 	for _, c := range current.Contracts {
-		known[c.ID] = c
+		existing[c.ID] = c
 	}
 	var steps []step
 	for _, c := range wanted.Contracts {
-		c.Revision = known[c.ID].Revision
+		c.Revision = existing[c.ID].Revision
 		path := "/admin/v1/contracts/" + url.PathEscape(c.ID)
-		steps = append(steps, writeIfDifferent("contract/"+c.ID, path, c, known[c.ID]))
+		steps = append(steps, writeIfChanged("contract/"+c.ID, path, c, existing[c.ID]))
 	}
 	return steps
 }
 
-func writeIfDifferent(object, path string, wanted, stands any) step {
+func writeIfChanged(object, path string, wanted, existing any) step {
 	s := step{object: object}
-	if !sameText(wanted, stands) {
+	if !equalJSON(wanted, existing) {
 		s.requests = []request{{http.MethodPut, path, wanted}}
 	}
 	return s
 }
 
-// sameText compares objects as control and files show them.
-func sameText(a, b any) bool {
+// equalJSON reports whether two objects have the same JSON encoding, which is the
+// form that control instances and files use.
+func equalJSON(a, b any) bool {
 	left, err := json.Marshal(a)
 	if err != nil {
-		panic(errors.Wrap(err, "operator: an object cannot be encoded"))
+		panic(errors.Wrap(err, "operator: encode object"))
 	}
 	right, err := json.Marshal(b)
 	if err != nil {
-		panic(errors.Wrap(err, "operator: an object cannot be encoded"))
+		panic(errors.Wrap(err, "operator: encode object"))
 	}
 	return string(left) == string(right)
 }
--- a/internal/operator/limits.go
+++ b/internal/operator/limits.go
@@ -8,22 +8,24 @@
 	"github.com/rosemarypass/rosemarypass/coord/quota"
 )
 
-// Limits are the limits in force, as the owner of the quotas counts them.
+// Limits are the limits in force and their use, as counted by the quota owner.
 type Limits struct {
-	// Epoch is the owner's fencing token. Counts begin anew with each.
+	// Epoch is the owner's fencing token. Counts restart with each new epoch.
 	Epoch uint64 `json:"epoch"`
-	// Contracts are those in use; the others cost nothing and are left out.
+	// Contracts are the contracts in use. The owner holds no state for the others,
+	// and they are omitted.
 	Contracts []ContractLimits `json:"contracts"`
 }
 
-// ContractLimits is one contract's limits and their use.
+// ContractLimits holds the limits of one contract and their use.
 type ContractLimits struct {
 	quota.Standing
 	Limits contract.Limits `json:"limits"`
 	Share  int             `json:"share"`
 }
 
-// Limits reads the limits in force of every contract in use, or of one.
+// Limits returns the limits in force of the contract with the given ID, or of all
+// contracts in use if id is empty.
 func (c *Client) Limits(ctx context.Context, id string) (Limits, error) {
 	path := "/admin/v1/limits"
 	if id != "" {
--- a/internal/operator/members.go
+++ b/internal/operator/members.go
@@ -10,15 +10,15 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// Members reads the members of the replicated log.
+// Members returns the members of the replicated log.
 func (c *Client) Members(ctx context.Context) (wire.MemberList, error) {
 	var list wire.MemberList
 	err := c.Get(ctx, "/admin/v1/members", &list)
 	return list, err
 }
 
-// ChangeMembers changes the membership. Sending a change again that was made
-// already is refused by its own rule.
+// ChangeMembers changes the membership of the replicated log. It needs no
+// operation ID: a change that was already made is rejected when it is sent again.
 func (c *Client) ChangeMembers(ctx context.Context, change wire.MemberChange) error {
 	data, err := json.Marshal(change)
 	if err != nil {
--- a/internal/operator/messages.go
+++ b/internal/operator/messages.go
@@ -1,6 +1,6 @@
-// Package operator is the operators' interface of the control instances as a
-// client sees it: the messages over HTTP and a client that tries several
-// instances under one operation id.
+// Package operator is the client side of the control instances' operator
+// interface: the HTTP messages and a client that tries several instances under one
+// operation ID.
 package operator
 
 import (
@@ -15,16 +15,16 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// HTTP headers of the operators' interface.
+// HTTP headers of the operator interface.
 const (
-	// OperationHeader carries the operation id of a change.
+	// OperationHeader carries the operation ID of a change.
 	OperationHeader = "Rosemarypass-Operation"
-	// UnconfirmedHeader is set on a reading that no quorum has confirmed: a
-	// later change may be missing from it.
+	// UnconfirmedHeader is set on the answer to a read that no quorum has
+	// confirmed: the answer may lack recent changes.
 	UnconfirmedHeader = "Rosemarypass-Unconfirmed"
 )
 
-// Failure is the body of an answer that is not a result.
+// Failure is the body of an error answer that holds no result.
 type Failure struct {
 	Error string `json:"error"`
 	// NotAccepted means that a change was not accepted and never will be.
@@ -37,18 +37,19 @@
 	Remove string `json:"remove,omitempty"`
 }
 
-// AdapterPage is a part of the adapters, by name and version.
+// AdapterPage is one page of the list of adapters, ordered by name and version.
 type AdapterPage struct {
 	Adapters []catalogue.Adapter `json:"adapters"`
-	// Next is the "after" of the next page, empty on the last.
+	// Next is the value of "after" that requests the next page; it is empty on the
+	// last page.
 	Next string `json:"next,omitempty"`
 }
 
-// Server is a backend server as announced and as wanted.
+// Server holds the announced and the wanted state of a backend server.
 type Server struct {
 	Name   string       `json:"name"`
 	Wanted state.Server `json:"wanted"`
-	// Announced is nil when the server has not announced itself within its lease.
+	// Announced is nil if the server has not announced itself within its lease.
 	Announced *membership.Announcement `json:"announced,omitempty"`
 }
 
@@ -57,9 +58,11 @@
 	Address  string             `json:"address"`
 	Name     string             `json:"name,omitempty"`
 	Standing freshness.Standing `json:"standing"`
-	// ClockAhead is how far its clock is ahead of the answering instance's.
+	// ClockAhead is how far the instance's clock is ahead of the answering
+	// instance's clock.
 	ClockAhead time.Duration `json:"clockAhead"`
-	// Error says why the instance did not answer; empty when it did.
+	// Error is the reason why the instance did not answer; it is empty if the
+	// instance answered.
 	Error string `json:"error,omitempty"`
 }
 
@@ -72,36 +75,37 @@
 	Servers   int `json:"servers"`
 }
 
-// Status is what a control instance knows of the whole system.
+// Status is the state of the whole system as known to a control instance.
 type Status struct {
 	Instance string `json:"instance"`
-	// ConfigIndex is the index of the last change on this instance.
+	// ConfigIndex is the index of the last change applied on this instance.
 	ConfigIndex uint64        `json:"configIndex"`
 	Instances   []Instance    `json:"instances"`
 	Daemons     []wire.Daemon `json:"daemons"`
 	Servers     []Server      `json:"servers"`
 	Counts      Counts        `json:"counts"`
-	// Suspects are the requests that were at crashes of backend servers.
+	// Suspects are the requests that were running on backend servers when these
+	// crashed.
 	Suspects []suspicion.Record `json:"suspects,omitempty"`
 }
 
-// InForce says where a change is in force.
+// InForce reports which daemons a change is in force in.
 type InForce struct {
 	Index uint64 `json:"index"`
 	// Done means that no living daemon works without the change.
 	Done bool `json:"done"`
 	// Waiting are living daemons that have not confirmed the change.
 	Waiting []wire.Daemon `json:"waiting,omitempty"`
-	// Lost are daemons that were not seen for their lease; they have stopped
-	// admitting by themselves or are gone.
+	// Lost are daemons that were not seen for the duration of their lease. They have
+	// stopped admitting requests on their own or no longer run.
 	Lost []wire.Daemon `json:"lost,omitempty"`
-	// Silent are control instances that do not answer. Daemons that follow
-	// only them stop admitting within the freshness lease.
+	// Silent are control instances that do not answer. Daemons that follow only
+	// these instances stop admitting requests within the freshness lease.
 	Silent []string `json:"silent,omitempty"`
 }
 
-// Document is the whole configuration in a file, without keys in the clear and
-// without revisions, which belong to one deployment.
+// Document is the whole configuration as stored in a file. It contains no
+// plaintext keys, and no revisions because these are specific to one deployment.
 type Document struct {
 	Models    []catalogue.Model   `json:"models,omitempty"`
 	Adapters  []catalogue.Adapter `json:"adapters,omitempty"`
@@ -110,5 +114,5 @@
 	Servers   []state.Server      `json:"servers,omitempty"`
 }
 
-// WaitLimit is the longest that one call for InForce waits.
+// WaitLimit is the longest time that a control instance may hold one InForce call.
 const WaitLimit = 30 * time.Second
