--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -1,6 +1,6 @@
-// Package caller is a stand-in for a caller's application: it asks for streamed
-// completions and checks that each answer is whole and its own. It knows the
-// tokens that the stand-in engine gives.
+// Package caller is a stand-in for a caller's application. It requests streamed
+// completions and checks that each answer is complete and belongs to the request.
+// It expects the tokens that the stand-in engine generates.
 package caller
 
 import (
@@ -15,22 +15,22 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// Caller asks under one contract.
+// Caller sends requests with the key of one contract.
 type Caller struct {
 	client *http.Client
 	key    string
 }
 
-// New returns a caller with a contract's key, which keeps up to idle
-// connections to one entry open between requests.
+// New returns a caller that uses the contract key and keeps up to idle
+// connections per entry open between requests.
 func New(key string, idle int) *Caller {
 	return &Caller{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idle}}, key: key}
 }
 
-// Complete asks the entry, or engine, at base for a number of tokens from a
-// model ("adapter@version"). The error tells what was wrong with the answer:
-// another status than 200, a token that is missing or out of order, or one
-// that belongs to another request or model.
+// Complete requests the given number of tokens of a model ("adapter@version") from
+// the entry or engine at the base URL. It returns an error if the request fails,
+// the status is not 200, or a token is missing, out of order, or belongs to
+// another request or model.
 func (c *Caller) Complete(base, model string, tokens int) error {
 	body := fmt.Sprintf(`{"model":%q,"prompt":"x","max_tokens":%d,"stream":true}`, model, tokens)
 	request, err := http.NewRequest(http.MethodPost, base+"/v1/completions", strings.NewReader(body))
@@ -40,7 +40,7 @@
 	request.Header.Set("Authorization", "Bearer "+c.key)
 	response, err := c.client.Do(request)
 	if err != nil {
-		return errors.Wrap(err, "ask")
+		return errors.Wrap(err, "send request")
 	}
 	defer response.Body.Close()
 	answer, err := io.ReadAll(response.Body)
@@ -53,7 +53,8 @@
 	return check(string(answer), model, response.Header.Get(wire.HeaderRequestID), tokens)
 }
 
-// check looks for each token of the request in its order, and for no other.
+// check returns an error unless answer holds exactly the tokens of the request, in
+// order.
 func check(answer, model, request string, tokens int) error {
 	if events := strings.Count(answer, "data: {"); events != tokens {
 		return errors.Errorf("request %s has %d tokens, want %d", request, events, tokens)
--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -9,7 +9,8 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// answerWriter writes a completion whole or as server-sent events.
+// answerWriter writes a completion, either as one JSON object or as server-sent
+// events.
 type answerWriter struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is a small stand-in for a model engine that speaks the OpenAI
-// completion protocol and the LoRA load and unload orders. It serves tests,
-// benchmarks and the demo; it models no hardware.
+// Package engine is a small stand-in for a model engine. It implements the OpenAI
+// completion protocol and the requests that load and unload LoRA adapters. It is
+// used by tests, benchmarks and the demo and does not model hardware.
 package engine
 
 import (
@@ -19,57 +19,60 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// Options shape the stand-in.
+// Options configure the stand-in.
 type Options struct {
-	// BaseModel is the model that answers without an adapter.
+	// BaseModel is the name of the model that is served without an adapter.
 	BaseModel string
-	// Slots is the number of adapters held at once.
+	// Slots is the most adapters that may be loaded at the same time.
 	Slots int
-	// Capacity is the most requests in one batch; others wait.
+	// Capacity is the most requests in one batch; further requests wait. 0 means 16.
 	Capacity int
-	// Tokens is the length of an answer that names no max_tokens.
+	// Tokens is the length, in tokens, of the answer to a request without
+	// max_tokens; 0 means 16.
 	Tokens int
 	// TokenTime is the time between tokens.
 	TokenTime time.Duration
-	// LoadTime is the time that a load takes.
+	// LoadTime is the duration of an adapter load.
 	LoadTime time.Duration
-	// EnforceFencing refuses orders with a number below the highest seen.
+	// EnforceFencing rejects load and unload requests with a fencing number below
+	// the highest number seen.
 	EnforceFencing bool
-	// SlowLoads gives some names a load time of their own.
+	// SlowLoads maps adapter names to load times that replace LoadTime.
 	SlowLoads map[string]time.Duration
-	// FailLoads makes loads of these names fail.
+	// FailLoads lists the names of adapters that fail to load.
 	FailLoads []string
-	// ReportLag delays the load report.
+	// ReportLag is how long a load report is served again before it is refreshed.
 	ReportLag time.Duration
 	// CrashMarker makes the engine restart when a prompt contains it.
 	CrashMarker string
 }
 
-// Ran records one request that the engine began to run.
+// Ran records one request that the engine started to run.
 type Ran struct {
 	RequestID string
 	Model     string
 	Prompt    string
 }
 
-// Engine is the stand-in's state across incarnations.
+// Engine is the stand-in engine. Its counters and its record of requests persist
+// across restarts, each of which begins a new incarnation.
 type Engine struct {
 	options Options
 
-	mu          sync.Mutex
-	incarnation uint64
-	loaded      []string
-	inUse       map[string]int
-	running     int
-	waiting     int
-	maxFencing  uint64
-	ran         []Ran
-	cancelled   int
-	evicted     int
-	report      Report
-	reportAt    time.Time
-	dead        chan struct{}
-	batch       chan struct{}
+	mu           sync.Mutex
+	incarnation  uint64
+	loaded       []string
+	inUse        map[string]int
+	running      int
+	waiting      int
+	maxFencing   uint64
+	ran          []Ran
+	cancelled    int
+	evictedInUse int
+	report       Report
+	reportAt     time.Time
+	restarted    chan struct{}
+	batch        chan struct{}
 }
 
 // Report is the engine's view of its own load, served at /load.
@@ -79,7 +82,7 @@
 	Waiting     int      `json:"waiting"`
 	Capacity    int      `json:"capacity"`
 	Adapters    []string `json:"adapters"`
-	// InUse lists the adapters that serve requests now.
+	// InUse lists the adapters that are serving requests.
 	InUse []string `json:"inUse"`
 }
 
@@ -95,12 +98,12 @@
 		options:     options,
 		incarnation: 1,
 		inUse:       make(map[string]int),
-		dead:        make(chan struct{}),
+		restarted:   make(chan struct{}),
 		batch:       make(chan struct{}, options.Capacity),
 	}
 }
 
-// Handler serves the engine's HTTP interface.
+// Handler returns the handler for the engine's HTTP interface.
 func (e *Engine) Handler() http.Handler {
 	router := chi.NewRouter()
 	router.Post("/v1/completions", e.complete)
@@ -111,7 +114,8 @@
 	return router
 }
 
-// Restart empties the engine and cuts every request in flight.
+// Restart simulates a restart: it unloads all adapters and aborts every request in
+// flight.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -119,8 +123,8 @@
 }
 
 func (e *Engine) restart() {
-	close(e.dead)
-	e.dead = make(chan struct{})
+	close(e.restarted)
+	e.restarted = make(chan struct{})
 	e.batch = make(chan struct{}, e.options.Capacity)
 	e.incarnation++
 	e.loaded = nil
@@ -129,50 +133,51 @@
 	clear(e.inUse)
 }
 
-// Ran returns the requests that the engine began to run, in order.
+// Ran returns the requests that the engine started to run, in order.
 func (e *Engine) Ran() []Ran {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.ran)
 }
 
-// Loaded returns the adapters that the engine holds.
+// Loaded returns the names of the loaded adapters.
 func (e *Engine) Loaded() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.loaded)
 }
 
-// Cancelled counts requests whose caller left before the end.
+// Cancelled returns the number of requests that callers cancelled before the end.
 func (e *Engine) Cancelled() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.cancelled
 }
 
-// EvictedInUse counts unloads of adapters that were serving; it must stay 0.
+// EvictedInUse returns the number of unloads of adapters that were serving
+// requests. It must stay 0.
 func (e *Engine) EvictedInUse() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.evicted
+	return e.evictedInUse
 }
 
-type order struct {
+type loraRequest struct {
 	Name string `json:"lora_name"`
 	Path string `json:"lora_path"`
 }
 
 func (e *Engine) load(w http.ResponseWriter, r *http.Request) {
-	o, ok := e.readOrder(w, r)
+	o, ok := e.readLoRARequest(w, r)
 	if !ok {
 		return
 	}
 	e.mu.Lock()
-	dead := e.dead
+	restarted := e.restarted
 	e.mu.Unlock()
 	select {
 	case <-time.After(e.loadTime(o.Name)):
-	case <-dead:
+	case <-restarted:
 		panic(http.ErrAbortHandler)
 	}
 	e.mu.Lock()
@@ -201,33 +206,33 @@
 }
 
 func (e *Engine) unload(w http.ResponseWriter, r *http.Request) {
-	o, ok := e.readOrder(w, r)
+	o, ok := e.readLoRARequest(w, r)
 	if !ok {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.inUse[o.Name] > 0 {
-		e.evicted++
+		e.evictedInUse++
 	}
 	e.loaded = slices.DeleteFunc(e.loaded, func(name string) bool { return name == o.Name })
 	w.WriteHeader(http.StatusOK)
 }
 
-func (e *Engine) readOrder(w http.ResponseWriter, r *http.Request) (order, bool) {
-	var o order
+func (e *Engine) readLoRARequest(w http.ResponseWriter, r *http.Request) (loraRequest, bool) {
+	var o loraRequest
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return o, false
 	}
-	number, _ := strconv.ParseUint(r.Header.Get(wire.HeaderFencing), 10, 64)
+	fencing, _ := strconv.ParseUint(r.Header.Get(wire.HeaderFencing), 10, 64)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.options.EnforceFencing && number < e.maxFencing {
+	if e.options.EnforceFencing && fencing < e.maxFencing {
 		http.Error(w, "fencing number is old", http.StatusPreconditionFailed)
 		return o, false
 	}
-	e.maxFencing = max(e.maxFencing, number)
+	e.maxFencing = max(e.maxFencing, fencing)
 	return o, true
 }
 
@@ -250,7 +255,8 @@
 	_ = json.NewEncoder(w).Encode(e.report)
 }
 
-// servingAdapters lists the adapters in use. The caller holds mu.
+// servingAdapters returns the sorted names of the adapters in use. The caller must
+// hold mu.
 func (e *Engine) servingAdapters() []string {
 	names := []string{}
 	for name, users := range e.inUse {
@@ -283,25 +289,27 @@
 	if q.MaxTokens == 0 {
 		q.MaxTokens = e.options.Tokens
 	}
-	dead, batch, ok := e.admit(q.Model, r.Header.Get(wire.HeaderRequestID), q.text())
+	restarted, batch, ok := e.admit(q.Model, r.Header.Get(wire.HeaderRequestID), q.text())
 	if !ok {
 		writeError(w, http.StatusNotFound, "the model "+q.Model+" does not exist")
 		return
 	}
-	defer e.leave(q.Model, dead)
+	defer e.release(q.Model, restarted)
 	select {
 	case batch <- struct{}{}:
 	case <-r.Context().Done():
 		e.countCancelled()
 		return
-	case <-dead:
+	case <-restarted:
 		panic(http.ErrAbortHandler)
 	}
 	defer func() { <-batch }()
-	e.generate(w, r, q, dead)
+	e.generate(w, r, q, restarted)
 }
 
-// admit checks the model and pins it for the request.
+// admit checks that the model is loaded, records the request and marks the model
+// as in use. It returns the channel that is closed when the engine restarts, the
+// batch semaphore, and whether the model is loaded.
 func (e *Engine) admit(model, id, prompt string) (<-chan struct{}, chan struct{}, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -309,20 +317,20 @@
 		return nil, nil, false
 	}
 	e.ran = append(e.ran, Ran{RequestID: id, Model: model, Prompt: prompt})
-	dead, batch := e.dead, e.batch
+	restarted, batch := e.restarted, e.batch
 	if e.options.CrashMarker != "" && strings.Contains(prompt, e.options.CrashMarker) {
 		e.restart()
-		return dead, batch, true
+		return restarted, batch, true
 	}
 	e.inUse[model]++
 	e.running++
-	return dead, batch, true
+	return restarted, batch, true
 }
 
-func (e *Engine) leave(model string, dead <-chan struct{}) {
+func (e *Engine) release(model string, restarted <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if dead != e.dead {
+	if restarted != e.restarted {
 		return
 	}
 	e.inUse[model]--
@@ -335,24 +343,24 @@
 	e.cancelled++
 }
 
-func (e *Engine) generate(w http.ResponseWriter, r *http.Request, q completionRequest, dead <-chan struct{}) {
+func (e *Engine) generate(w http.ResponseWriter, r *http.Request, q completionRequest, restarted <-chan struct{}) {
 	writer := newAnswerWriter(w, r, q)
 	ticker := time.NewTicker(max(e.options.TokenTime, time.Microsecond))
 	defer ticker.Stop()
 	for i := range q.MaxTokens {
-		abortIfDead(dead)
+		abortIfRestarted(restarted)
 		select {
-		case <-dead:
+		case <-restarted:
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
 			e.countCancelled()
 			return
 		case <-ticker.C:
 		}
-		// With a short token time both channels are ready, and select takes
-		// either: an engine that crashed would answer after all.
+		// With a short token time both channels can be ready, and select picks one
+		// at random: without this check a crashed engine could still answer.
 		select {
-		case <-dead:
+		case <-restarted:
 			panic(http.ErrAbortHandler)
 		default:
 		}
@@ -361,10 +369,11 @@
 	writer.finish()
 }
 
-// abortIfDead keeps a crashed engine from choosing its next token over its end.
-func abortIfDead(dead <-chan struct{}) {
+// abortIfRestarted aborts the request if the engine has restarted, so that a
+// crashed engine does not generate another token.
+func abortIfRestarted(restarted <-chan struct{}) {
 	select {
-	case <-dead:
+	case <-restarted:
 		panic(http.ErrAbortHandler)
 	default:
 	}
@@ -386,8 +395,9 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// TokenText is the text of the i-th token of an answer. It names the model and
-// the request, so that a test sees when an answer reached the wrong caller.
+// TokenText returns the text of the i-th token of an answer. The text contains the
+// model and the request ID, so that a test can detect an answer that reached the
+// wrong caller.
 func TokenText(model, requestID string, i int) string {
 	return fmt.Sprintf("%s/%s/%d ", model, requestID, i)
 }
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service is a small stand-in for a plain service such as a booking
-// desk. It records every call that it ran.
+// Package service is a small stand-in for a plain service, such as a booking
+// service. It records every call that it runs.
 package service
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// maxBody bounds a call's body, in bytes.
+// maxBody is the largest accepted body of a call, in bytes.
 const maxBody = 1 << 20
 
-// Options shape the stand-in.
+// Options configure the stand-in.
 type Options struct {
-	// CallTime is how long a call takes.
+	// CallTime is the duration of a call.
 	CallTime time.Duration
 }
 
-// Call is one call that the service ran.
+// Call records one call that the service ran.
 type Call struct {
 	Method string
 	Path   string
@@ -30,30 +30,30 @@
 	Key    string
 }
 
-// Service is the stand-in.
+// Service is the stand-in service.
 type Service struct {
 	options Options
 	mu      sync.Mutex
 	calls   []Call
 }
 
-// New returns a service that has run no calls.
+// New returns a service without recorded calls.
 func New(options Options) *Service { return &Service{options: options} }
 
-// Calls returns the calls that ran, in order.
+// Calls returns the calls that the service ran, in order.
 func (s *Service) Calls() []Call {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.calls)
 }
 
-// Receipt is the answer to a call.
+// Receipt is the body of the answer to a call.
 type Receipt struct {
 	Number int    `json:"number"`
 	Path   string `json:"path"`
 }
 
-// ServeHTTP runs a call.
+// ServeHTTP records a call and answers it with a Receipt.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
