--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -76,7 +76,7 @@
 	ReadyPath string
 }
 
-// process is one running process.
+// process is the running entry or agent with the parts that it consists of.
 type process struct {
 	platform   Platform
 	settings   settings.Fleet
