--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -10,7 +10,7 @@
 	"github.com/rosemarypass/rosemarypass/internal/wait"
 )
 
-// engineDialTimeout bounds connecting to the engine beside the agent.
+// engineDialTimeout bounds the connection set-up to the agent's local engine.
 const engineDialTimeout = time.Second
 
 func (d *Daemon) startAgent(ctx context.Context) error {
@@ -35,13 +35,14 @@
 		Fencer:           commands,
 		RPC:              d.rpcOptions(),
 	}, relay.NewClient(engineDialTimeout), d.log)
-	d.duties.Go(func() { a.Run(ctx) })
+	d.background.Go(func() { a.Run(ctx) })
 	d.readiness = append(d.readiness, a.Ready)
 	return d.serveHTTP(agentListen, s.Listen, d.identity.Listen, a.Handler(), func(ctx context.Context) {
 		a.Leave()
-		// The listener stays until entries have heard: a refusal sends a
-		// request elsewhere at once, a dead address only after a timeout.
+		// Keep the listener open until the entries have received the leave
+		// announcement: an entry retries a refused request on another server at
+		// once, but a request to a closed address only after a timeout.
 		_ = wait.For(ctx, stopGrace)
-		d.reportCut(agentListen, a.Wait(ctx))
+		d.reportCutRequests(agentListen, a.Wait(ctx))
 	})
 }
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -34,7 +34,7 @@
 		return errors.Wrap(err, "control.peerListen")
 	}
 	handlers := c.Handlers()
-	ownership, handOver, err := d.startLog(ctx, c, handlers)
+	ownership, stopReplica, err := d.startReplica(ctx, c, handlers)
 	if err != nil {
 		_ = listener.Close()
 		return err
@@ -42,25 +42,25 @@
 	quotas := control.NewQuotas(quota.DefaultOptions(), ownership, c.Agreed, d.log)
 	c.UseQuotas(quotas)
 	maps.Copy(handlers, quotas.Handlers())
-	d.duties.Go(func() { quotas.Run(ctx) })
+	d.background.Go(func() { quotas.Run(ctx) })
 	loads := control.NewLoadBroker(broker.Options{})
 	handlers[wire.MethodLoads] = rpc.Typed(loads.Sync)
 	server := rpc.NewServer(handlers)
-	d.duties.Go(func() { loads.Run(ctx) })
-	d.duties.Go(func() { _ = server.Serve(ctx, d.identity.Listen(listener)) })
-	d.duties.Go(func() { c.Run(ctx) })
+	d.background.Go(func() { loads.Run(ctx) })
+	d.background.Go(func() { _ = server.Serve(ctx, d.identity.Listen(listener)) })
+	d.background.Go(func() { c.Run(ctx) })
 	d.drains = append(d.drains, func(context.Context) {
 		_ = listener.Close()
 		server.Close()
 	})
 	d.control = c
-	return d.serveHTTP(operatorListen, s.OperatorListen, d.identity.ListenPublic, c.OperatorHandler(), handOver)
+	return d.serveHTTP(operatorListen, s.OperatorListen, d.identity.ListenPublic, c.OperatorHandler(), stopReplica)
 }
 
-// startLog replicates the state when the settings name a data folder. It adds
-// the log's methods to the handlers and returns who owns the quotas and what a
-// planned stop does first.
-func (d *Daemon) startLog(ctx context.Context, c *control.Control, handlers map[string]rpc.Handler) (control.Ownership, func(context.Context), error) {
+// startReplica starts log replication if the settings name a data folder. It adds
+// the RPC methods of the log to handlers and returns the quota ownership and the
+// function that a planned stop calls first.
+func (d *Daemon) startReplica(ctx context.Context, c *control.Control, handlers map[string]rpc.Handler) (control.Ownership, func(context.Context), error) {
 	s := d.settings.Control
 	if s.DataFolder == "" {
 		return c.SoleOwnership(), func(context.Context) {}, nil
@@ -78,15 +78,15 @@
 	}
 	c.UseReplica(r)
 	maps.Copy(handlers, r.Handlers())
-	d.duties.Go(func() { r.Run(ctx) })
+	d.background.Go(func() { r.Run(ctx) })
 	ownership := control.NewLeaderOwnership(r)
-	d.duties.Go(func() { ownership.Run(ctx) })
+	d.background.Go(func() { ownership.Run(ctx) })
 	return ownership, func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
+		ctx, cancel := context.WithTimeout(ctx, leadershipTransferTimeout)
 		defer cancel()
 		r.Stop(ctx)
 	}, nil
 }
 
-// handOverTimeout bounds the transfer of the leadership on a planned stop.
-const handOverTimeout = 3 * time.Second
+// leadershipTransferTimeout bounds the leadership transfer during a planned stop.
+const leadershipTransferTimeout = 3 * time.Second
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon wires the roles that the settings name into one process and
-// stops them gracefully.
+// Package daemon runs the roles configured in the settings in one process and
+// shuts them down gracefully.
 package daemon
 
 import (
@@ -20,14 +20,14 @@
 	"github.com/rosemarypass/rosemarypass/internal/telemetry"
 )
 
-// readHeaderTimeout bounds how long a peer may take to send its headers.
+// readHeaderTimeout bounds the time a client may take to send its request headers.
 const readHeaderTimeout = 10 * time.Second
 
-// stopGrace is how long an entry keeps its listener open after it reports that
-// it is not ready, so that the balancer sees it before connections are refused.
+// stopGrace is how long a listener stays open after its role reports that it is
+// not ready, so that the load balancer notices before connections are refused.
 const stopGrace = 500 * time.Millisecond
 
-// Settings that name a listener's address.
+// Settings keys of the listener addresses.
 const (
 	entryListen    = "entry.listen"
 	agentListen    = "agent.listen"
@@ -35,30 +35,31 @@
 	statusListen   = "statusListen"
 )
 
-// cutByStop counts requests that a stop cut off at its deadline.
-var cutByStop = telemetry.Counter("stop_requests_cut")
+// requestsCut counts the requests that were aborted because a stop reached its
+// deadline.
+var requestsCut = telemetry.Counter("stop_requests_cut")
 
-// Daemon is one process with its roles.
+// Daemon is a process and the roles that it runs.
 type Daemon struct {
-	settings settings.Settings
-	log      *zap.Logger
-	duties   sync.WaitGroup
-	stop     context.CancelFunc
-	drains   []func(context.Context)
-	control  *control.Control
-	// identity secures traffic between processes; nil is plaintext.
+	settings   settings.Settings
+	log        *zap.Logger
+	background sync.WaitGroup
+	stop       context.CancelFunc
+	drains     []func(context.Context)
+	control    *control.Control
+	// identity secures traffic between processes; nil means plaintext.
 	identity *peertls.Identity
 	follower *follow.Follower
-	// addresses are the listeners' actual addresses, by setting; they differ
-	// from the settings when those leave the port to the system.
+	// addresses holds the bound address of each listener by its settings key. It
+	// differs from the setting when the setting's port is 0.
 	addresses map[string]string
-	// readiness holds one check for each role that can be unready.
+	// readiness holds one check for each role that reports readiness.
 	readiness []func() bool
-	// cut counts the requests that the stop cut off.
+	// cut counts the requests that the stop aborted.
 	cut int
 }
 
-// Start opens the listeners and starts the duties of every role.
+// Start opens the listeners and starts the background tasks of every role.
 func Start(s settings.Settings, log *zap.Logger) (*Daemon, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Daemon{settings: s, log: log, stop: cancel, addresses: make(map[string]string)}
@@ -73,8 +74,8 @@
 		cancel()
 		return nil, err
 	}
-	starts := []func(context.Context) error{d.loadIdentity, d.startStatus, d.startControl, d.startAgent, d.startEntry}
-	for _, start := range starts {
+	startFuncs := []func(context.Context) error{d.loadIdentity, d.startStatus, d.startControl, d.startAgent, d.startEntry}
+	for _, start := range startFuncs {
 		if err := start(ctx); err != nil {
 			d.Stop(ctx)
 			return nil, err
@@ -85,44 +86,46 @@
 	return d, nil
 }
 
-// Stop drains every role in the order entry, agent, control and returns when
-// nothing is in flight or ctx ends. It says how many requests it cut off.
+// Stop drains the roles in the order entry, agent, control and returns when no
+// request is in flight or ctx ends. It returns the number of requests that it
+// aborted.
 func (d *Daemon) Stop(ctx context.Context) int {
 	for i := len(d.drains) - 1; i >= 0; i-- {
 		d.drains[i](ctx)
 	}
 	d.stop()
-	d.duties.Wait()
+	d.background.Wait()
 	d.log.Info("stopped", zap.Int("cut", d.cut))
 	return d.cut
 }
 
-// Control is the control role, nil when this daemon has none.
+// Control returns the control role, or nil if this daemon does not run it.
 func (d *Daemon) Control() *control.Control { return d.control }
 
-// Follower is what the entry role follows, nil when this daemon has none.
+// Follower returns the follower of the entry role, or nil if this daemon does
+// not run that role.
 func (d *Daemon) Follower() *follow.Follower { return d.follower }
 
-// EntryAddress is the address of the callers' interface, empty without the
-// entry role.
+// EntryAddress returns the address of the callers' interface, or "" if this
+// daemon does not run the entry role.
 func (d *Daemon) EntryAddress() string { return d.addresses[entryListen] }
 
-// wrapper secures a listener.
-type wrapper func(net.Listener) net.Listener
+// listenerWrapper adds transport security to a listener.
+type listenerWrapper func(net.Listener) net.Listener
 
-// plain leaves a listener as it is.
-func plain(listener net.Listener) net.Listener { return listener }
+// plaintext returns the listener unchanged.
+func plaintext(listener net.Listener) net.Listener { return listener }
 
-// serveHTTP serves a handler and registers its drain, which runs before the
-// server shuts down.
-func (d *Daemon) serveHTTP(setting, address string, wrap wrapper, handler http.Handler, drain func(context.Context)) error {
+// serveHTTP serves handler on address and registers drain, which runs before the
+// HTTP server shuts down.
+func (d *Daemon) serveHTTP(setting, address string, wrap listenerWrapper, handler http.Handler, drain func(context.Context)) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return errors.Wrap(err, setting)
 	}
 	d.addresses[setting] = listener.Addr().String()
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, ConnContext: answer.ConnContext}
-	d.duties.Go(func() { _ = server.Serve(wrap(listener)) })
+	d.background.Go(func() { _ = server.Serve(wrap(listener)) })
 	d.drains = append(d.drains, func(ctx context.Context) {
 		drain(ctx)
 		if err := server.Shutdown(ctx); err != nil {
@@ -132,12 +135,12 @@
 	return nil
 }
 
-// reportCut tells an operator what a stop could not finish in its time.
-func (d *Daemon) reportCut(listener string, requests int) {
+// reportCutRequests counts and logs the requests that a stop aborted at its deadline.
+func (d *Daemon) reportCutRequests(listener string, requests int) {
 	if requests == 0 {
 		return
 	}
 	d.cut += requests
-	cutByStop.Add(int64(requests))
+	requestsCut.Add(int64(requests))
 	d.log.Warn("the stop cut requests off", zap.String("listener", listener), zap.Int("requests", requests))
 }
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -27,7 +27,7 @@
 		Lease:  time.Duration(s.FreshnessLease),
 		RPC:    d.rpcOptions(),
 	}, d.log)
-	client := relay.NewClient(time.Duration(s.DialTimeout), d.secure()...)
+	client := relay.NewClient(time.Duration(s.DialTimeout), d.clientOptions()...)
 	limits := limiter.New(limiter.Options{
 		Instance:  d.settings.Instance,
 		Peers:     d.settings.ControlPeers,
@@ -35,7 +35,7 @@
 		Quota:     quota.DefaultOptions(),
 		Freshness: follower.Freshness,
 	}, follower.Config(), d.log)
-	d.duties.Go(func() { limits.Run(ctx) })
+	d.background.Go(func() { limits.Run(ctx) })
 	commands := ledger.NewClient(d.settings.ControlPeers, d.rpcOptions()...)
 	e := entry.New(entry.Options{
 		Admission:        limits,
@@ -53,13 +53,13 @@
 		Claims:     commands,
 		Suspicions: commands,
 	}, follower, client, d.log)
-	d.duties.Go(func() { follower.Run(ctx) })
+	d.background.Go(func() { follower.Run(ctx) })
 	d.readiness = append(d.readiness, e.Ready)
 	d.follower = follower
-	return d.serveHTTP(entryListen, s.Listen, plain, e.Handler(), func(ctx context.Context) {
+	return d.serveHTTP(entryListen, s.Listen, plaintext, e.Handler(), func(ctx context.Context) {
 		e.Drain()
 		_ = wait.For(ctx, stopGrace)
-		d.reportCut(entryListen, e.Wait(ctx))
+		d.reportCutRequests(entryListen, e.Wait(ctx))
 		limits.Stop(ctx)
 	})
 }
--- a/internal/daemon/ledger_test.go
+++ b/internal/daemon/ledger_test.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	foundTime  = 20 * time.Second
-	ledgerTime = 20 * time.Second
+	bootstrapTimeout = 20 * time.Second
+	ledgerTimeout    = 20 * time.Second
 )
 
-// startLedger runs three control instances, of which the first founds the log
-// and leads it, and returns them with a client.
+// startLedger runs three control instances and returns them with a ledger
+// client. The first instance bootstraps the log and is its leader.
 func startLedger(tb testing.TB) ([]*daemon.Daemon, *ledger.Client) {
 	tb.Helper()
 	daemons, peers := startControls(tb, 3)
 	client := ledger.NewClient(peers)
-	ctx, cancel := context.WithTimeout(tb.Context(), foundTime)
+	ctx, cancel := context.WithTimeout(tb.Context(), bootstrapTimeout)
 	defer cancel()
 	if _, err := client.Apply(ctx, claim.Command{ID: claim.ID{Contract: "c", Key: "first"}, Look: &claim.Look{}}); err != nil {
 		tb.Fatal(err)
@@ -32,33 +32,36 @@
 	return daemons, client
 }
 
-// runOnce claims a key, ends it and resends it, as an entry would.
-func runOnce(ctx context.Context, client *ledger.Client, key string) error {
+// claimAndReplay begins a claim, finishes it and begins it again with a second
+// token, as an entry does for a retried call; the second begin must be answered
+// with the recorded answer.
+func claimAndReplay(ctx context.Context, client *ledger.Client, key string) error {
 	id := claim.ID{Contract: "c", Key: key}
 	begin := claim.Command{ID: id, Begin: &claim.Begin{Token: "1", Fingerprint: []byte{1}}}
 	finish := claim.Command{ID: id, Finish: &claim.Finish{Token: "1", Answer: claim.Answer{Status: 200, Kept: true, Body: []byte(key)}}}
-	resend := claim.Command{ID: id, Begin: &claim.Begin{Token: "2", Fingerprint: []byte{1}}}
-	wants := []struct {
+	replay := claim.Command{ID: id, Begin: &claim.Begin{Token: "2", Fingerprint: []byte{1}}}
+	steps := []struct {
 		command claim.Command
 		verdict claim.Verdict
-	}{{begin, claim.Granted}, {finish, claim.Noted}, {resend, claim.Replay}}
-	for _, want := range wants {
-		reply, err := client.Apply(ctx, want.command)
+	}{{begin, claim.Granted}, {finish, claim.Noted}, {replay, claim.Replay}}
+	for _, step := range steps {
+		reply, err := client.Apply(ctx, step.command)
 		if err != nil {
 			return err
 		}
-		if reply.Verdict != want.verdict {
-			return fmt.Errorf("%s: %s, want %s", key, reply.Verdict, want.verdict)
+		if reply.Verdict != step.verdict {
+			return fmt.Errorf("%s: %s, want %s", key, reply.Verdict, step.verdict)
 		}
 	}
 	return nil
 }
 
-// The control instance that leads the log is stopped for an update while calls
-// with keys come in. Each must be decided, once, by the others.
-func TestClaimsOutliveAPlannedStopOfTheLeader(t *testing.T) {
+// Guards against lost or repeated claim decisions when the leader of the log is
+// stopped for an update: each concurrent call with a key must be decided exactly
+// once by the remaining instances.
+func TestClaimsSurvivePlannedLeaderStop(t *testing.T) {
 	daemons, client := startLedger(t)
-	ctx, cancel := context.WithTimeout(t.Context(), ledgerTime)
+	ctx, cancel := context.WithTimeout(t.Context(), ledgerTimeout)
 	defer cancel()
 	halfway := make(chan struct{})
 	var workers sync.WaitGroup
@@ -68,7 +71,7 @@
 				if worker == 0 && i == 10 {
 					close(halfway)
 				}
-				if err := runOnce(ctx, client, fmt.Sprintf("%d-%d", worker, i)); err != nil {
+				if err := claimAndReplay(ctx, client, fmt.Sprintf("%d-%d", worker, i)); err != nil {
 					t.Errorf("worker %d, call %d: %v", worker, i, err)
 					return
 				}
@@ -77,13 +80,14 @@
 	}
 	<-halfway
 	if cut := daemons[0].Stop(ctx); cut != 0 {
-		t.Errorf("the stop cut %d requests off", cut)
+		t.Errorf("the stop aborted %d requests", cut)
 	}
 	workers.Wait()
 }
 
-// BenchmarkClaimedCall is what a key costs a call: the commit that grants it
-// and the commit that keeps its answer, through three control instances.
+// BenchmarkClaimedCall measures the cost of an idempotency key for one call: the
+// commit that grants the claim and the commit that stores its answer, replicated
+// on three control instances.
 func BenchmarkClaimedCall(b *testing.B) {
 	_, client := startLedger(b)
 	var calls atomic.Int64
@@ -107,5 +111,5 @@
 	})
 }
 
-// benchmarkCallers is how many calls are in flight for each processor.
+// benchmarkCallers is the number of calls in flight per processor.
 const benchmarkCallers = 16
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -10,7 +10,7 @@
 	"github.com/rosemarypass/rosemarypass/internal/rpc"
 )
 
-// loadIdentity reads this instance's certificates, if its settings name any.
+// loadIdentity loads the instance's certificates if the settings name any.
 func (d *Daemon) loadIdentity(context.Context) error {
 	s := d.settings.PeerTLS
 	if s == nil {
@@ -28,8 +28,9 @@
 	return []rpc.ClientOption{rpc.WithIdentity(d.identity)}
 }
 
-// secure lets HTTP clients reach other processes over TLS.
-func (d *Daemon) secure() []relay.Option {
+// clientOptions returns the options with which HTTP clients reach other
+// processes: TLS if this instance has an identity.
+func (d *Daemon) clientOptions() []relay.Option {
 	if d.identity == nil {
 		return nil
 	}
--- a/internal/daemon/propagation_bench_test.go
+++ b/internal/daemon/propagation_bench_test.go
@@ -24,8 +24,8 @@
 	return addresses[0]
 }
 
-// startControls runs control instances that replicate their log on disk, and
-// returns them with their addresses.
+// startControls runs n control instances that replicate their log on disk, and
+// returns them with their peer addresses.
 func startControls(b testing.TB, n int) ([]*daemon.Daemon, []string) {
 	peers := make([]string, n)
 	for i := range peers {
@@ -59,7 +59,7 @@
 	return daemons, peers
 }
 
-func change(expected uint64, rate float64) state.Command {
+func putContract(expected uint64, rate float64) state.Command {
 	return state.Command{PutContract: &state.PutContract{Expected: expected, Contract: contract.Contract{
 		ID:     "cascade",
 		Limits: contract.Limits{RequestsPerSecond: rate, TokensPerMinute: 1, Concurrency: 1, MaxWait: time.Second},
@@ -67,8 +67,9 @@
 	}}}
 }
 
-// propose tries until the change is accepted: a leader must be elected first.
-func propose(b *testing.B, d *daemon.Daemon, command state.Command) uint64 {
+// proposeWithRetry retries until the command is accepted, because a leader must
+// be elected first.
+func proposeWithRetry(b *testing.B, d *daemon.Daemon, command state.Command) uint64 {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	for {
@@ -83,20 +84,21 @@
 	}
 }
 
-func await(b *testing.B, followers []*follow.Follower, index uint64) {
+func awaitIndex(b *testing.B, followers []*follow.Follower, index uint64) {
 	deadline := time.Now().Add(20 * time.Second)
 	for _, f := range followers {
 		for f.Config().Index() < index {
 			if time.Now().After(deadline) {
-				b.Fatal("a daemon did not follow")
+				b.Fatal("a daemon did not reach the expected index")
 			}
 			time.Sleep(50 * time.Microsecond)
 		}
 	}
 }
 
-// BenchmarkReplicatedInForce measures a change from its proposal, through a log
-// on three instances with a disk each, until it is in force in every daemon.
+// BenchmarkReplicatedInForce measures the time from the proposal of a change,
+// replicated on three instances that each write to disk, until it is in force in
+// every daemon.
 func BenchmarkReplicatedInForce(b *testing.B) {
 	for _, count := range []int{1, 10, 100} {
 		b.Run(fmt.Sprint("daemons=", count), func(b *testing.B) {
@@ -108,20 +110,21 @@
 				followers[i] = follow.New(follow.Options{Daemon: fmt.Sprint("entry-", i), Peers: peers}, zap.NewNop())
 				go followers[i].Run(ctx)
 			}
-			last := propose(b, controls[0], change(0, 1))
-			await(b, followers, last)
+			last := proposeWithRetry(b, controls[0], putContract(0, 1))
+			awaitIndex(b, followers, last)
 			var accepted time.Duration
 			changes := 0
 			for b.Loop() {
-				// A change after a quiet time is shown at once.
+				// A control instance sends a change to its followers at once if
+				// it has sent none within its batch interval.
 				b.StopTimer()
 				time.Sleep(60 * time.Millisecond)
 				b.StartTimer()
 				changes++
 				started := time.Now()
-				last = propose(b, controls[0], change(last, float64(changes+1)))
+				last = proposeWithRetry(b, controls[0], putContract(last, float64(changes+1)))
 				accepted += time.Since(started)
-				await(b, followers, last)
+				awaitIndex(b, followers, last)
 			}
 			b.ReportMetric(float64(accepted.Microseconds())/float64(changes), "accepted-µs")
 		})
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -13,20 +13,21 @@
 	"github.com/rosemarypass/rosemarypass/internal/answer"
 )
 
-// A stop does not wait for ever: what still runs at its deadline is cut. To a
-// caller of HTTP/1.0 the end of the connection is the end of the answer; closed in
-// good order, the part that it has would look like the whole.
-func TestAStopDoesNotMakeAPartLookWhole(t *testing.T) {
-	released := make(chan struct{})
+// Guards against a truncated response that looks complete. A stop aborts the
+// requests that still run at its deadline. An HTTP/1.0 client takes the end of
+// the connection for the end of the response, so an orderly close would make the
+// partial response look complete.
+func TestStopAbortsConnectionOfPartialResponse(t *testing.T) {
+	release := make(chan struct{})
 	d := &Daemon{log: zap.NewNop(), stop: func() {}, addresses: make(map[string]string)}
 	handler := answer.Handler(func(*http.Request) answer.Answer {
 		return answer.Stream(http.StatusOK, nil, func(pass answer.Pass) answer.End {
 			_ = pass([]byte("part"))
-			<-released
+			<-release
 			return answer.Cut
 		})
 	})
-	if err := d.serveHTTP(entryListen, "127.0.0.1:0", plain, handler, func(context.Context) {}); err != nil {
+	if err := d.serveHTTP(entryListen, "127.0.0.1:0", plaintext, handler, func(context.Context) {}); err != nil {
 		t.Fatal(err)
 	}
 	conn, err := net.Dial("tcp", d.EntryAddress())
@@ -43,11 +44,11 @@
 	if _, err := io.ReadFull(response.Body, part); err != nil {
 		t.Fatal(err)
 	}
-	over, cancel := context.WithCancel(t.Context())
+	expired, cancel := context.WithCancel(t.Context())
 	cancel()
-	d.Stop(over)
+	d.Stop(expired)
 	if rest, err := io.ReadAll(response.Body); err == nil {
-		t.Errorf("%q looks whole", string(part)+string(rest))
+		t.Errorf("partial response %q ended without an error", string(part)+string(rest))
 	}
-	close(released)
+	close(release)
 }
