--- a/internal/demo/bench_test.go
+++ b/internal/demo/bench_test.go
@@ -14,14 +14,14 @@
 	"github.com/rosemarypass/rosemarypass/internal/standin/caller"
 )
 
-// BenchmarkDataPath compares the stand-in engine called directly with the same
-// call through entry and agent, in one process and one run. The difference
-// between the two is what the system adds. cpu-µs/op is the whole process's
-// processor time: client, roles and engine.
+// BenchmarkDataPath compares direct calls of the stand-in engine with the same
+// calls through entry and agent, in one process and one run. The difference
+// between the two is the overhead of the system. cpu-µs/op is the CPU time of
+// the whole process: client, roles and engine.
 func BenchmarkDataPath(b *testing.B) {
 	for _, secure := range []bool{false, true} {
 		d := startForBenchmark(b, secure)
-		warm(b, d)
+		warmUp(b, d)
 		for _, tokens := range []int{1, 256} {
 			for _, parallel := range []int{1, 32} {
 				suffix := fmt.Sprintf("tls=%t/tokens=%d/callers=%d", secure, tokens, parallel)
@@ -35,7 +35,7 @@
 func startForBenchmark(b *testing.B, secure bool) *demo.Demo {
 	var files *settings.PeerTLS
 	if secure {
-		files = issueFiles(b)
+		files = issueCertificates(b)
 	}
 	d, err := demo.StartWith(demo.Options{
 		TokenTime: time.Microsecond,
@@ -57,25 +57,25 @@
 	return d
 }
 
-func warm(b *testing.B, d *demo.Demo) {
-	asking := caller.New(demo.CallerKey, 1)
+func warmUp(b *testing.B, d *demo.Demo) {
+	client := caller.New(demo.CallerKey, 1)
 	for range 10 {
-		if err := asking.Complete("http://"+d.Entry, demo.Adapters[0], 1); err != nil {
+		if err := client.Complete("http://"+d.Entry, demo.Adapters[0], 1); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
 func benchmarkCalls(b *testing.B, base string, tokens, callers int) {
-	asking := caller.New(demo.CallerKey, callers)
+	client := caller.New(demo.CallerKey, callers)
 	jobs := make(chan struct{}, callers)
 	done := make(chan error, callers)
-	before := processorTime()
+	cpuBefore := cpuTime()
 	b.ResetTimer()
 	for range callers {
 		go func() {
 			for range jobs {
-				if err := asking.Complete(base, demo.Adapters[0], tokens); err != nil {
+				if err := client.Complete(base, demo.Adapters[0], tokens); err != nil {
 					done <- err
 					return
 				}
@@ -93,11 +93,11 @@
 		}
 	}
 	b.StopTimer()
-	used := processorTime() - before
-	b.ReportMetric(float64(used.Microseconds())/float64(b.N), "cpu-µs/op")
+	cpuUsed := cpuTime() - cpuBefore
+	b.ReportMetric(float64(cpuUsed.Microseconds())/float64(b.N), "cpu-µs/op")
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo runs every role, a stand-in engine and a stand-in plain service
-// in one process on loopback.
+// Package demo runs all roles together with a stand-in engine and a stand-in
+// plain service in one process on the loopback interface.
 package demo
 
 import (
@@ -29,7 +29,7 @@
 	"github.com/rosemarypass/rosemarypass/internal/standin/service"
 )
 
-// Names of the sample contract's objects.
+// Names and keys of the sample configuration.
 const (
 	BaseModel   = "floor-assist-base"
 	CallerKey   = "demo-caller-key"
@@ -39,21 +39,21 @@
 	ServiceName = "booking-desk"
 )
 
-// Adapters are the sample adapters.
+// Adapters lists the sample adapters as adapter@version.
 var Adapters = []string{"rehearsal-plan@1", "rehearsal-plan@2", "costume-advice@1", "quote-draft@1", "shift-handover@1"}
 
 const (
-	demoSlots       = 2
-	demoTokenTime   = 10 * time.Millisecond
-	demoLoadTime    = 250 * time.Millisecond
-	announcePeriod  = 200 * time.Millisecond
-	readyTimeout    = 10 * time.Second
-	readyPoll       = 20 * time.Millisecond
-	headerTimeout   = 10 * time.Second
-	loopbackAnyPort = "127.0.0.1:0"
+	defaultSlots      = 2
+	defaultTokenTime  = 10 * time.Millisecond
+	defaultLoadTime   = 250 * time.Millisecond
+	announceInterval  = 200 * time.Millisecond
+	readyTimeout      = 10 * time.Second
+	readyPollInterval = 20 * time.Millisecond
+	readHeaderTimeout = 10 * time.Second
+	loopbackAddress   = "127.0.0.1:0"
 )
 
-// Demo is a running demonstration.
+// Demo is a running demo deployment.
 type Demo struct {
 	Engine   *engine.Engine
 	Service  *service.Service
@@ -63,38 +63,41 @@
 	Peer   string
 	Agent  string
 	Status string
-	// EngineAddress is where the stand-in engine itself listens.
+	// EngineAddress is the listen address of the stand-in engine.
 	EngineAddress string
 
 	daemon  *daemon.Daemon
 	servers []*http.Server
 	cancel  context.CancelFunc
-	// operators calls the operators' interface, by the given scheme.
-	operators *http.Client
-	scheme    string
+	// operatorClient calls the operators' interface; scheme is its URL scheme.
+	operatorClient *http.Client
+	scheme         string
 }
 
-// Options shape the demo; the zero value is the ordinary one.
+// Options configures the demo. The zero value selects the defaults.
 type Options struct {
-	// Listen is the address of the callers' interface; any free port by default.
+	// Listen is the address of the callers' interface. It defaults to a free
+	// loopback port.
 	Listen string
-	// TokenTime and LoadTime are the stand-in engine's.
+	// TokenTime and LoadTime are the stand-in engine's time per token and per
+	// adapter load.
 	TokenTime time.Duration
 	LoadTime  time.Duration
-	// Slots and Capacity are the stand-in engine's.
+	// Slots and Capacity are the stand-in engine's number of adapter slots and
+	// its maximum batch size.
 	Slots    int
 	Capacity int
-	// Limits are the sample contract's.
+	// Limits are the limits of the sample contract.
 	Limits contract.Limits
 	// PeerTLS secures the traffic between the roles.
 	PeerTLS *settings.PeerTLS
 }
 
 func (o *Options) setDefaults() {
-	o.Listen = cmp.Or(o.Listen, loopbackAnyPort)
-	o.TokenTime = cmp.Or(o.TokenTime, demoTokenTime)
-	o.LoadTime = cmp.Or(o.LoadTime, demoLoadTime)
-	o.Slots = cmp.Or(o.Slots, demoSlots)
+	o.Listen = cmp.Or(o.Listen, loopbackAddress)
+	o.TokenTime = cmp.Or(o.TokenTime, defaultTokenTime)
+	o.LoadTime = cmp.Or(o.LoadTime, defaultLoadTime)
+	o.Slots = cmp.Or(o.Slots, defaultSlots)
 	o.Limits = cmp.Or(o.Limits, contract.Limits{
 		RequestsPerSecond: 100,
 		TokensPerMinute:   1_000_000,
@@ -103,12 +106,12 @@
 	})
 }
 
-// Start runs the demo with the callers' interface on the given address.
+// Start starts the demo with the callers' interface on the address listen.
 func Start(listen string, log *zap.Logger) (*Demo, error) {
 	return StartWith(Options{Listen: listen}, log)
 }
 
-// StartWith runs the demo.
+// StartWith starts the demo with the given options and returns once it is ready.
 func StartWith(options Options, log *zap.Logger) (*Demo, error) {
 	options.setDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -132,16 +135,16 @@
 }
 
 func (d *Demo) start(ctx context.Context, options Options, log *zap.Logger) error {
-	engineAddress, err := d.serve(d.Engine.Handler())
+	engineAddress, err := d.serveLoopback(d.Engine.Handler())
 	if err != nil {
 		return err
 	}
 	d.EngineAddress = engineAddress
-	serviceAddress, err := d.serve(d.Service)
+	serviceAddress, err := d.serveLoopback(d.Service)
 	if err != nil {
 		return err
 	}
-	d.operators, d.scheme, err = operatorClient(options.PeerTLS)
+	d.operatorClient, d.scheme, err = newOperatorClient(options.PeerTLS)
 	if err != nil {
 		return err
 	}
@@ -162,12 +165,12 @@
 	return d.awaitReady(ctx)
 }
 
-func (d *Demo) serve(handler http.Handler) (string, error) {
-	listener, err := net.Listen("tcp", loopbackAnyPort)
+func (d *Demo) serveLoopback(handler http.Handler) (string, error) {
+	listener, err := net.Listen("tcp", loopbackAddress)
 	if err != nil {
 		return "", errors.Wrap(err, "listen")
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	d.servers = append(d.servers, server)
 	go func() { _ = server.Serve(listener) }()
 	return listener.Addr().String(), nil
@@ -199,7 +202,7 @@
 			Slots:            options.Slots,
 			Queue:            64,
 			LoadTimeout:      settings.Duration(5 * time.Second),
-			AnnounceInterval: settings.Duration(announcePeriod),
+			AnnounceInterval: settings.Duration(announceInterval),
 		},
 		Control: &settings.Control{
 			PeerListen:        addresses[0],
@@ -250,8 +253,8 @@
 	return commands
 }
 
-// announceService announces the stand-in service as a service of any language
-// would: by HTTP, with a key of its own.
+// announceService announces the stand-in service periodically over HTTP with a
+// separate announce key, as a service written in any language would.
 func (d *Demo) announceService(ctx context.Context, address string) {
 	announcement := membership.Announcement{
 		Server:      "booking-desk-1",
@@ -264,7 +267,7 @@
 	for ctx.Err() == nil {
 		announcement.Sequence++
 		_ = d.announce(ctx, announcement)
-		time.Sleep(announcePeriod)
+		time.Sleep(announceInterval)
 	}
 }
 
@@ -278,21 +281,23 @@
 		return errors.Wrap(err, "build announcement")
 	}
 	request.Header.Set("Authorization", "Bearer "+announceKey)
-	response, err := d.operators.Do(request)
+	response, err := d.operatorClient.Do(request)
 	if err != nil {
 		return errors.Wrap(err, "announce")
 	}
 	return response.Body.Close()
 }
 
-// OperatorClient returns an HTTP client that trusts the operators' interface.
-func (d *Demo) OperatorClient() *http.Client { return d.operators }
+// OperatorClient returns an HTTP client that trusts the certificate of the
+// operators' interface.
+func (d *Demo) OperatorClient() *http.Client { return d.operatorClient }
 
-// OperatorURL is the base URL of the operators' interface.
+// OperatorURL returns the base URL of the operators' interface.
 func (d *Demo) OperatorURL() string { return d.scheme + "://" + d.Operator }
 
-// operatorClient trusts the demo's own authority when the roles use TLS.
-func operatorClient(tlsFiles *settings.PeerTLS) (*http.Client, string, error) {
+// newOperatorClient returns an HTTP client for the operators' interface and the
+// URL scheme to use. With TLS, the client trusts the demo's own authority.
+func newOperatorClient(tlsFiles *settings.PeerTLS) (*http.Client, string, error) {
 	if tlsFiles == nil {
 		return http.DefaultClient, "http", nil
 	}
@@ -300,8 +305,8 @@
 	return client, "https", err
 }
 
-// awaitReady returns once both sample servers are in the directory and the
-// entry has the sample configuration.
+// awaitReady waits until both sample servers are in the directory and the entry
+// has the sample configuration.
 func (d *Demo) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -312,7 +317,7 @@
 		select {
 		case <-ctx.Done():
 			return errors.New("the demo did not become ready")
-		case <-time.After(readyPoll):
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
@@ -326,8 +331,8 @@
 	return response.StatusCode == http.StatusOK && len(d.daemon.Follower().Servers()) == 2 && d.hasSample()
 }
 
-// hasSample reports whether the entry has the last object of the sample, which
-// reaches it with the next batch of changes.
+// hasSample reports whether the entry has received the last object of the sample
+// configuration. Changes reach an entry in batches.
 func (d *Demo) hasSample() bool {
 	ref, err := catalogue.ParseRef(Adapters[len(Adapters)-1])
 	if err != nil {
@@ -337,13 +342,14 @@
 	return found
 }
 
-// CurlLine is a command that gets a whole answer from the demo.
+// CurlLine returns a curl command that requests a completion from the demo.
 func (d *Demo) CurlLine() string {
 	return fmt.Sprintf(`curl -sS http://%s/v1/completions -H 'Authorization: Bearer %s' -H 'Content-Type: application/json' -d '{"model":"%s","prompt":"Draft a rehearsal plan.","max_tokens":8}'`,
 		d.Entry, CallerKey, Adapters[0])
 }
 
-// Stop ends the demo gracefully and says how many requests it cut off.
+// Stop shuts the demo down gracefully and returns the number of requests that it
+// aborted.
 func (d *Demo) Stop(ctx context.Context) int {
 	cut := 0
 	if d.daemon != nil {
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -27,11 +27,12 @@
 
 func post(t *testing.T, d *demo.Demo, path, key, body string) (*http.Response, string) {
 	t.Helper()
-	return postOnce(t, d, path, key, "", body)
+	return postWithKey(t, d, path, key, "", body)
 }
 
-// postOnce sends an Idempotency-Key unless it is empty.
-func postOnce(t *testing.T, d *demo.Demo, path, key, idempotencyKey, body string) (*http.Response, string) {
+// postWithKey sends a POST request, with an Idempotency-Key header unless
+// idempotencyKey is empty.
+func postWithKey(t *testing.T, d *demo.Demo, path, key, idempotencyKey, body string) (*http.Response, string) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+d.Entry+path, strings.NewReader(body))
 	if err != nil {
@@ -53,7 +54,7 @@
 	return response, string(data)
 }
 
-func TestWholePathAnswersFromTheAdapterAndVersionAsked(t *testing.T) {
+func TestResponseComesFromRequestedAdapterVersion(t *testing.T) {
 	d := startDemo(t)
 	for _, model := range demo.Adapters {
 		response, body := post(t, d, "/v1/completions", demo.CallerKey, `{"model":"`+model+`","prompt":"x","max_tokens":3}`)
@@ -78,7 +79,7 @@
 	}
 }
 
-func TestRefusalsAreClearAndDispatchNothing(t *testing.T) {
+func TestRefusedRequestsAreNotDispatched(t *testing.T) {
 	d := startDemo(t)
 	oversized := `{"model":"quote-draft@1","prompt":"` + strings.Repeat("x", 5<<20) + `"}`
 	cases := []struct {
--- a/internal/demo/drain_test.go
+++ b/internal/demo/drain_test.go
@@ -13,17 +13,17 @@
 	"github.com/rosemarypass/rosemarypass/internal/telemetry"
 )
 
-// An operator drains the only server while callers keep asking. Every refusal
-// must say that the request was not run, and the server must get work again
-// once it is started.
-func TestDrainClosesTheGateAndStartOpensIt(t *testing.T) {
+// Guards against refused requests without a definite outcome while the only
+// server is drained, and against a server that gets no requests after it is
+// started again. Every refusal must report that the request was not run.
+func TestDrainAndStartServer(t *testing.T) {
 	t.Run("plaintext", func(t *testing.T) { drainAndStart(t, startDemo(t)) })
 	t.Run("with certificates", func(t *testing.T) {
 		failed := telemetry.Counter("rpc_handshakes_failed")
 		before := failed.Value()
-		drainAndStart(t, startSecure(t))
+		drainAndStart(t, startDemoWithTLS(t))
 		if now := failed.Value(); now != before {
-			t.Errorf("%d connections of our own processes were refused", now-before)
+			t.Errorf("%d TLS handshakes between the demo's own processes failed", now-before)
 		}
 	})
 }
@@ -31,14 +31,14 @@
 func drainAndStart(t *testing.T, d *demo.Demo) {
 	t.Helper()
 	client := operator.NewClient(operator.Options{URLs: []string{d.OperatorURL()}, Key: demo.OperatorKey, HTTP: d.OperatorClient()})
-	ask := func() (int, string) {
+	send := func() (int, string) {
 		response, body := post(t, d, "/v1/completions", demo.CallerKey, `{"model":"`+demo.Adapters[0]+`","prompt":"x","max_tokens":1}`)
 		if response.StatusCode != http.StatusOK && response.Header.Get(outcome.Header) != outcome.NotRun.String() {
 			t.Errorf("%s %s", response.Status, body)
 		}
 		return response.StatusCode, body
 	}
-	want := func(wanted state.Wanted) {
+	setWanted := func(wanted state.Wanted) {
 		current, err := client.Server(t.Context(), "floor-assist-1")
 		if err != nil {
 			t.Fatal(err)
@@ -53,15 +53,15 @@
 			t.Fatalf("%+v, %v", report, err)
 		}
 	}
-	want(state.WantedDraining)
-	if status, body := ask(); status != http.StatusServiceUnavailable || !strings.Contains(body, "no_server") {
+	setWanted(state.WantedDraining)
+	if status, body := send(); status != http.StatusServiceUnavailable || !strings.Contains(body, "no_server") {
 		t.Errorf("while drained: %d %s", status, body)
 	}
-	want(state.WantedServing)
+	setWanted(state.WantedServing)
 	deadline := time.Now().Add(10 * time.Second)
-	for status := 0; status != http.StatusOK; status, _ = ask() {
+	for status := 0; status != http.StatusOK; status, _ = send() {
 		if time.Now().After(deadline) {
-			t.Fatal("the started server got no work")
+			t.Fatal("the started server got no requests")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/internal/demo/limits_test.go
+++ b/internal/demo/limits_test.go
@@ -13,26 +13,27 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// An operator cuts a contract to one request at a time while a request runs.
-// The running one ends well; the next one is refused by that clause, and the
-// operator sees it.
-func TestContractChangeIsInForceInMidFlight(t *testing.T) {
+// Guards against a lowered concurrency limit that aborts running requests or
+// applies late. The limit is set to 1 while a request runs: that request must
+// complete, and once the change is in force the next request must be refused
+// with the concurrency clause.
+func TestContractChangeAppliesWhileRequestRuns(t *testing.T) {
 	d := startDemo(t)
 	operators := operator.NewClient(operator.Options{URLs: []string{"http://" + d.Operator}, Key: demo.OperatorKey})
 	var running sync.WaitGroup
 	running.Go(func() {
-		long := `{"model":"quote-draft@1","prompt":"x","max_tokens":250}`
-		if response, body := post(t, d, "/v1/completions", demo.CallerKey, long); response.StatusCode != http.StatusOK {
+		request := `{"model":"quote-draft@1","prompt":"x","max_tokens":250}`
+		if response, body := post(t, d, "/v1/completions", demo.CallerKey, request); response.StatusCode != http.StatusOK {
 			t.Errorf("the running request: %s: %s", response.Status, body)
 		}
 	})
-	awaitBusy(t, operators)
-	agreed, err := operators.Contract(t.Context(), demo.ContractID)
+	awaitRequestInFlight(t, operators)
+	current, err := operators.Contract(t.Context(), demo.ContractID)
 	if err != nil {
 		t.Fatal(err)
 	}
-	agreed.Limits.Concurrency, agreed.Limits.MaxWait = 1, 50*time.Millisecond
-	result, err := operators.PutContract(t.Context(), agreed)
+	current.Limits.Concurrency, current.Limits.MaxWait = 1, 50*time.Millisecond
+	result, err := operators.PutContract(t.Context(), current)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +48,7 @@
 		t.Errorf("the next request: %v: %s", response.Header, body)
 	}
 	running.Wait()
-	// The slot is free again.
+	// The concurrency slot becomes free again.
 	for {
 		response, _ = post(t, d, "/v1/completions", demo.CallerKey, `{"model":"quote-draft@1","prompt":"x","max_tokens":1}`)
 		if response.StatusCode == http.StatusOK {
@@ -56,8 +57,9 @@
 	}
 }
 
-// awaitBusy returns once the owner of the quotas has heard of the running request.
-func awaitBusy(t *testing.T, operators *operator.Client) {
+// awaitRequestInFlight waits until the running request has been reported to the
+// owner of the quotas.
+func awaitRequestInFlight(t *testing.T, operators *operator.Client) {
 	t.Helper()
 	for {
 		limits, err := operators.Limits(t.Context(), demo.ContractID)
--- a/internal/demo/loads_test.go
+++ b/internal/demo/loads_test.go
@@ -8,9 +8,10 @@
 	"github.com/rosemarypass/rosemarypass/internal/telemetry"
 )
 
-// The whole path loads by the broker's permits. Were the agent to reach no
-// broker, loads would go on one by one, and only the counters would tell.
-func TestLoadsHaveTheBrokersPermits(t *testing.T) {
+// Guards against an agent that does not reach the load broker. It would still
+// load adapters, one at a time and without permits, and only the counters would
+// show it.
+func TestLoadsUseBrokerPermits(t *testing.T) {
 	permits := telemetry.Counter("agent_permits")
 	d := startDemo(t)
 	before := permits.Value()
@@ -20,8 +21,8 @@
 			t.Fatalf("%s: %s: %s", model, response.Status, body)
 		}
 	}
-	// On a machine that stands still for a moment single loads may do without.
+	// If the machine stalls, individual loads may proceed without a permit.
 	if permits.Value() == before {
-		t.Error("no load had a permit of the broker")
+		t.Error("no load had a permit from the broker")
 	}
 }
--- a/internal/demo/stop_test.go
+++ b/internal/demo/stop_test.go
@@ -18,10 +18,11 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// stream asks for a long answer and returns what arrived of it.
-func stream(d *demo.Demo, tokens int) (id, body string, err error) {
-	text := fmt.Sprintf(`{"model":%q,"prompt":"x","max_tokens":%d,"stream":true}`, demo.Adapters[0], tokens)
-	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+d.Entry+"/v1/completions", strings.NewReader(text))
+// streamCompletion requests a streamed completion of the given length and returns
+// the request ID and the part of the body that arrived.
+func streamCompletion(d *demo.Demo, tokens int) (id, body string, err error) {
+	payload := fmt.Sprintf(`{"model":%q,"prompt":"x","max_tokens":%d,"stream":true}`, demo.Adapters[0], tokens)
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+d.Entry+"/v1/completions", strings.NewReader(payload))
 	if err != nil {
 		return "", "", err
 	}
@@ -43,7 +44,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the streams did not begin")
+	t.Fatal("the streams did not start")
 }
 
 func ready(d *demo.Demo) bool {
@@ -55,10 +56,10 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// An operator restarts every role for an update while long drafts stream, and
-// the balancer goes on sending until it has seen that the entry is not ready.
-// A stop that cuts a draft off costs its caller all of it.
-func TestAPlannedStopCutsNoStreamAndShowsNotReadyFirst(t *testing.T) {
+// Guards against a planned stop that aborts streams, which costs the callers the
+// whole response, or that refuses requests too early: the load balancer sends
+// requests until it has seen that the entry is not ready.
+func TestPlannedStopReportsNotReadyAndCompletesStreams(t *testing.T) {
 	d, err := demo.StartWith(demo.Options{Listen: "127.0.0.1:0", TokenTime: 5 * time.Millisecond}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -67,10 +68,10 @@
 	var callers sync.WaitGroup
 	for i := range streams {
 		callers.Go(func() {
-			id, body, err := stream(d, tokens)
-			whole := strings.HasSuffix(body, "data: [DONE]\n\n") && strings.Contains(body, engine.TokenText(demo.Adapters[0], id, tokens-1))
-			if err != nil || !whole {
-				t.Errorf("stream %d: whole %v, %v", i, whole, err)
+			id, body, err := streamCompletion(d, tokens)
+			complete := strings.HasSuffix(body, "data: [DONE]\n\n") && strings.Contains(body, engine.TokenText(demo.Adapters[0], id, tokens-1))
+			if err != nil || !complete {
+				t.Errorf("stream %d: complete %v, %v", i, complete, err)
 			}
 		})
 	}
@@ -82,38 +83,39 @@
 	}
 	response, body := post(t, d, "/v1/completions", demo.CallerKey, `{"model":"`+demo.Adapters[0]+`","prompt":"x","max_tokens":1}`)
 	if response.StatusCode != http.StatusOK || response.Header.Get(outcome.Header) != outcome.Answered.String() {
-		t.Errorf("a request that the balancer sent before it saw: %s %s", response.Status, body)
+		t.Errorf("request sent right after the entry became unready: %s %s", response.Status, body)
 	}
 	callers.Wait()
 	if cut := <-stopped; cut != 0 {
-		t.Errorf("the stop cut %d requests off", cut)
+		t.Errorf("the stop aborted %d requests", cut)
 	}
 }
 
-// A stop takes too long for its operator, who sends a second signal. It must
-// end, and say how many requests that cost.
-func TestASecondSignalEndsTheStopAndCountsWhatItCut(t *testing.T) {
+// Guards against a stop that does not end when its context is cancelled, as it is
+// after a second signal. It must abort the remaining requests and return their
+// number, and their callers must see an error.
+func TestCancelledStopReturnsAbortedRequests(t *testing.T) {
 	d, err := demo.StartWith(demo.Options{Listen: "127.0.0.1:0", TokenTime: 10 * time.Millisecond}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan error, 1)
 	go func() {
-		_, _, err := stream(d, 3000)
+		_, _, err := streamCompletion(d, 3000)
 		ended <- err
 	}()
 	awaitRunning(t, d, 1)
-	ctx, second := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	stopped := make(chan int, 1)
 	go func() { stopped <- d.Stop(ctx) }()
 	for ready(d) {
 		time.Sleep(time.Millisecond)
 	}
-	second()
+	cancel()
 	if cut := <-stopped; cut == 0 {
-		t.Error("the stop says that it cut nothing off")
+		t.Error("the stop reported no aborted requests")
 	}
 	if err := <-ended; err == nil {
-		t.Error("the caller saw a clean end")
+		t.Error("the aborted stream ended without an error")
 	}
 }
--- a/internal/demo/tls_test.go
+++ b/internal/demo/tls_test.go
@@ -19,7 +19,7 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-func issueFiles(t testing.TB) *settings.PeerTLS {
+func issueCertificates(t testing.TB) *settings.PeerTLS {
 	t.Helper()
 	authority, err := pki.NewAuthority("demo", time.Now(), time.Hour)
 	if err != nil {
@@ -44,9 +44,9 @@
 	}
 }
 
-func startSecure(t *testing.T) *demo.Demo {
+func startDemoWithTLS(t *testing.T) *demo.Demo {
 	t.Helper()
-	d, err := demo.StartWith(demo.Options{PeerTLS: issueFiles(t)}, zap.NewNop())
+	d, err := demo.StartWith(demo.Options{PeerTLS: issueCertificates(t)}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,11 +54,11 @@
 	return d
 }
 
-// A program that is not ours reaches the listeners between processes and
-// announces a server of its own. With it in the directory, customers' requests
-// would go to a stranger.
-func TestWithCertificatesRequestsPassAndStrangersDoNot(t *testing.T) {
-	d := startSecure(t)
+// Guards against clients without a certificate on the listeners between
+// processes. Such a client could announce its own server to the directory and
+// then receive customers' requests.
+func TestPeerTLSRejectsClientsWithoutCertificate(t *testing.T) {
+	d := startDemoWithTLS(t)
 	response, body := post(t, d, "/v1/completions", demo.CallerKey, `{"model":"quote-draft@1","prompt":"x","max_tokens":1}`)
 	if response.StatusCode != http.StatusOK {
 		t.Fatalf("%s %s", response.Status, body)
@@ -70,9 +70,9 @@
 
 	client := rpc.NewClient(d.Peer)
 	defer client.Close()
-	stranger := membership.Announcement{Server: "stranger", Kind: membership.KindEngine, Pool: "floor-assist", Address: "127.0.0.1:1", BaseModel: demo.BaseModel, Incarnation: 1, Sequence: 1}
+	announcement := membership.Announcement{Server: "stranger", Kind: membership.KindEngine, Pool: "floor-assist", Address: "127.0.0.1:1", BaseModel: demo.BaseModel, Incarnation: 1, Sequence: 1}
 	var reply wire.AnnounceReply
-	if err := client.Call(t.Context(), wire.MethodAnnounce, wire.Announce{Announcement: stranger}, &reply); err == nil {
+	if err := client.Call(t.Context(), wire.MethodAnnounce, wire.Announce{Announcement: announcement}, &reply); err == nil {
 		t.Error("a process without a certificate announced a server")
 	}
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+d.Agent+"/v1/completions", strings.NewReader(`{}`))
@@ -80,9 +80,9 @@
 		t.Fatal(err)
 	}
 	request.Header.Set(wire.HeaderModel, "quote-draft@1")
-	if answer, err := http.DefaultClient.Do(request); err == nil {
-		_ = answer.Body.Close()
-		if answer.StatusCode == http.StatusOK {
+	if agentResponse, err := http.DefaultClient.Do(request); err == nil {
+		_ = agentResponse.Body.Close()
+		if agentResponse.StatusCode == http.StatusOK {
 			t.Error("the agent served a process without a certificate")
 		}
 	}
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestStatusListenerAnswersThePlatform(t *testing.T) {
+func TestStatusListenerServesChecksAndCounters(t *testing.T) {
 	d := startDemo(t)
 	for _, path := range []string{"/healthz", "/readyz", "/debug/vars"} {
 		response, err := http.Get("http://" + d.Status + path)
--- a/internal/demo/trace_test.go
+++ b/internal/demo/trace_test.go
@@ -14,13 +14,13 @@
 	"github.com/rosemarypass/rosemarypass/internal/telemetry"
 )
 
-// The caller's own trace context must lead, hop by hop, to the engine's span:
-// each span's parent is the hop before it.
-func TestATraceHasASpanForEachHop(t *testing.T) {
+// Guards against a broken trace: the trace context must propagate from the caller
+// to the engine, and the parent of each span must be the span of the previous hop.
+func TestTraceHasSpanForEachHop(t *testing.T) {
 	exporter := tracetest.NewInMemoryExporter()
-	before := otel.GetTracerProvider()
+	previous := otel.GetTracerProvider()
 	otel.SetTracerProvider(sdktrace.NewTracerProvider(sdktrace.WithSyncer(exporter)))
-	t.Cleanup(func() { otel.SetTracerProvider(before) })
+	t.Cleanup(func() { otel.SetTracerProvider(previous) })
 	d := startDemo(t)
 
 	const traceID, callerSpan = "0af7651916cd43dd8448eb211c80319c", "b7ad6b7169203331"
@@ -54,7 +54,8 @@
 	}
 }
 
-// awaitSpans waits for the spans of one trace, which hops end in their own time.
+// awaitSpans waits until want spans of a trace are exported, because each hop
+// ends its span independently.
 func awaitSpans(t *testing.T, exporter *tracetest.InMemoryExporter, traceID string, want int) map[string]tracetest.SpanStub {
 	t.Helper()
 	for range 500 {
