--- a/cmd/rosemaryd/failure_test.go
+++ b/cmd/rosemaryd/failure_test.go
@@ -15,36 +15,36 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// inForceWait is longer than the daemons' leases, after which a control
-// instance that is silent no longer keeps a change from being in force.
-const inForceWait = 20 * time.Second
+// inForceTimeout is longer than the daemons' leases. Once these have expired, an
+// unresponsive control instance no longer prevents a change from being in force.
+const inForceTimeout = 20 * time.Second
 
-// callers ask entries again and again until they are stopped.
+// callers send requests to the entries in a loop until they are stopped.
 type callers struct {
 	tb       testing.TB
 	stop     chan struct{}
-	working  sync.WaitGroup
+	running  sync.WaitGroup
 	answered atomic.Int64
 }
 
 func startCallers(f *fleet, entries []*process, n, tokens int) *callers {
 	c := &callers{tb: f.tb, stop: make(chan struct{})}
 	for i := range n {
-		c.working.Go(func() { c.run(entries[i%len(entries)], i, tokens) })
+		c.running.Go(func() { c.run(entries[i%len(entries)], i, tokens) })
 	}
-	f.await("the first answers", func() bool { return c.answered.Load() >= int64(n) })
+	f.await("the first responses", func() bool { return c.answered.Load() >= int64(n) })
 	return c
 }
 
 func (c *callers) run(entry *process, i, tokens int) {
-	asking := caller.New(fleetCallerKey, 1)
+	client := caller.New(fleetCallerKey, 1)
 	for {
 		select {
 		case <-c.stop:
 			return
 		default:
 		}
-		if err := asking.Complete(entry.url(), model(i), tokens); err != nil {
+		if err := client.Complete(entry.url(), adapterName(i), tokens); err != nil {
 			c.tb.Errorf("caller %d at %s: %v", i, entry.name, err)
 			return
 		}
@@ -52,14 +52,15 @@
 	}
 }
 
-// end stops the callers and returns once each has its last answer.
-func (c *callers) end() {
+// stopAndWait stops the callers and waits until each has received the response
+// to its last request.
+func (c *callers) stopAndWait() {
 	close(c.stop)
-	c.working.Wait()
+	c.running.Wait()
 }
 
-// leader finds the process of the log's leader.
-func (f *fleet) leader() *process {
+// awaitLeader waits until the log has a leader and returns its process.
+func (f *fleet) awaitLeader() *process {
 	f.tb.Helper()
 	var found *process
 	f.await("a leader", func() bool {
@@ -68,7 +69,7 @@
 			return false
 		}
 		name, _, _ := strings.Cut(string(members.Leader), ".")
-		for _, p := range f.role("control") {
+		for _, p := range f.processesWithRole("control") {
 			if p.name == name {
 				found = p
 				return true
@@ -82,7 +83,7 @@
 func (f *fleet) awaitSurvivable(n int) wire.MemberList {
 	f.tb.Helper()
 	var list wire.MemberList
-	f.await("redundancy", func() bool {
+	f.await("the expected redundancy", func() bool {
 		members, err := f.client.Members(f.tb.Context())
 		list = members
 		return err == nil && members.Leader != "" && members.Survivable == n
@@ -90,13 +91,13 @@
 	return list
 }
 
-// changeContract writes the contract once more and waits until the change is
-// in force in every living daemon.
+// changeContract writes the contract again and waits until the change is in force
+// in every live daemon.
 func (f *fleet) changeContract() {
 	f.tb.Helper()
 	var index uint64
-	f.await("a change accepted", func() bool {
-		f.useOperators(f.asked)
+	f.await("an accepted change", func() bool {
+		f.connectClient(f.clientAddresses)
 		current, err := f.client.Contract(f.tb.Context(), "amman")
 		if err != nil || f.client.Unconfirmed() {
 			return false
@@ -107,43 +108,44 @@
 	f.awaitInForce(index)
 }
 
-// The control leader's power fails while callers are served. Callers must
-// notice nothing, and operators must be able to change contracts again once
-// another instance leads. Then the instance comes back without its disk, as a
-// new member, and redundancy must really stand again.
-func TestAKilledLeaderCostsNoRequestAndALostDiskIsReplaced(t *testing.T) {
+// Guards against failed requests and lost redundancy when the leading control
+// instance crashes and loses its disk. No request may fail, and operators must be
+// able to change contracts again once another instance leads. The instance then
+// returns with an empty disk as a new member, after which the log must again
+// survive the loss of one member.
+func TestLeaderCrashAndDiskReplacement(t *testing.T) {
 	f := startFleet(t, 3, 2, 2)
 	f.awaitSurvivable(1)
-	c := startCallers(f, f.role("entry"), 8, 10)
-	lost := f.leader()
-	lost.signal(t, syscall.SIGKILL)
-	_ = lost.cmd.Wait()
+	c := startCallers(f, f.processesWithRole("entry"), 8, 10)
+	killed := f.awaitLeader()
+	killed.signal(t, syscall.SIGKILL)
+	_ = killed.cmd.Wait()
 	f.changeContract()
 	before := c.answered.Load()
-	f.await("answers after the loss", func() bool { return c.answered.Load() > before+8 })
+	f.await("responses after the crash", func() bool { return c.answered.Load() > before+8 })
 
 	i := 0
 	for i = range f.peers {
-		if f.operators[i] == lost.listen {
+		if f.operators[i] == killed.listen {
 			break
 		}
 	}
-	if err := os.RemoveAll(filepath.Join(f.folder, lost.name)); err != nil {
+	if err := os.RemoveAll(filepath.Join(f.folder, killed.name)); err != nil {
 		t.Fatal(err)
 	}
 	f.startControl(i, false)
-	f.replace(lost.name)
+	f.replaceMember(killed.name)
 	f.awaitSurvivable(1)
 	f.changeContract()
-	c.end()
+	c.stopAndWait()
 }
 
-// replace removes the identity that lost its disk and lets the new one of the
-// same name take its place.
-func (f *fleet) replace(name string) {
+// replaceMember removes the member that lost its disk, and adds and promotes the
+// new member with the same instance name.
+func (f *fleet) replaceMember(name string) {
 	f.tb.Helper()
 	var old string
-	f.await("the lost member listed", func() bool {
+	f.await("the old and the new member in the list", func() bool {
 		members, err := f.client.Members(f.tb.Context())
 		if err != nil {
 			return false
@@ -170,54 +172,55 @@
 	}
 }
 
-// The control leader freezes without a word, as under a stalled disk or a
-// paused virtual machine, and thaws much later, when others have accepted
-// changes. It must not take callers or daemons back to what it knew.
-func TestAFrozenLeaderRevertsNothingWhenItThaws(t *testing.T) {
+// Guards against a stale leader that reverts changes. The leading control
+// instance is paused, as by a stalled disk or a paused virtual machine, and
+// resumes after the others have accepted changes. It must not serve its older
+// state to callers or daemons as confirmed.
+func TestPausedLeaderDoesNotRevertChanges(t *testing.T) {
 	f := startFleet(t, 3, 2, 2)
-	c := startCallers(f, f.role("entry"), 8, 10)
-	frozen := f.leader()
-	f.useOperators(slices.DeleteFunc(slices.Clone(f.operators), func(address string) bool { return address == frozen.listen }))
-	frozen.signal(t, syscall.SIGSTOP)
+	c := startCallers(f, f.processesWithRole("entry"), 8, 10)
+	paused := f.awaitLeader()
+	f.connectClient(slices.DeleteFunc(slices.Clone(f.operators), func(address string) bool { return address == paused.listen }))
+	paused.signal(t, syscall.SIGSTOP)
 	f.changeContract()
 	accepted, err := f.client.Contract(t.Context(), "amman")
 	if err != nil {
 		t.Fatal(err)
 	}
-	frozen.signal(t, syscall.SIGCONT)
-	f.useOperators([]string{frozen.listen})
+	paused.signal(t, syscall.SIGCONT)
+	f.connectClient([]string{paused.listen})
 	f.awaitSurvivable(1)
 	for range 20 {
-		f.useOperators(f.asked)
+		f.connectClient(f.clientAddresses)
 		now, err := f.client.Contract(t.Context(), "amman")
 		if err != nil {
 			t.Fatal(err)
 		}
 		if now.Revision < accepted.Revision && !f.client.Unconfirmed() {
-			t.Fatalf("the contract went back from revision %d to %d", accepted.Revision, now.Revision)
+			t.Fatalf("the contract was reverted from revision %d to %d", accepted.Revision, now.Revision)
 		}
 	}
 	f.changeContract()
-	c.end()
+	c.stopAndWait()
 }
 
-// An entry and an agent are stopped for maintenance while long answers stream
-// through them. No stream may be cut, and the callers of the other entry must
-// notice nothing.
-func TestAPlannedStopCutsNoStream(t *testing.T) {
+// Guards against streams that are aborted when an entry and an agent are stopped
+// for maintenance. Every stream must complete, and no request of the other
+// entry's callers may fail.
+func TestPlannedStopCompletesStreams(t *testing.T) {
 	f := startFleet(t, 1, 2, 2)
-	entries, agents := f.role("entry"), f.role("agent")
+	entries, agents := f.processesWithRole("entry"), f.processesWithRole("agent")
 	others := startCallers(f, entries[1:], 4, 10)
-	var long sync.WaitGroup
-	var whole atomic.Int64
+	var streamCallers sync.WaitGroup
+	var complete atomic.Int64
 	const streams, tokens = 8, 200
 	for i := range streams {
-		long.Go(func() {
-			if err := caller.New(fleetCallerKey, 1).Complete(entries[0].url(), model(i), tokens); err != nil {
+		streamCallers.Go(func() {
+			if err := caller.New(fleetCallerKey, 1).Complete(entries[0].url(), adapterName(i), tokens); err != nil {
 				t.Errorf("stream %d: %v", i, err)
 				return
 			}
-			whole.Add(1)
+			complete.Add(1)
 		})
 	}
 	f.await("the streams at the engines", func() bool {
@@ -230,9 +233,9 @@
 			t.Errorf("%s ended with %v\n%s", p.name, err, p.log)
 		}
 	}
-	long.Wait()
-	if whole.Load() != streams {
-		t.Errorf("%d of %d streams were whole", whole.Load(), streams)
+	streamCallers.Wait()
+	if complete.Load() != streams {
+		t.Errorf("%d of %d streams completed", complete.Load(), streams)
 	}
-	others.end()
+	others.stopAndWait()
 }
--- a/cmd/rosemaryd/fleet_bench_test.go
+++ b/cmd/rosemaryd/fleet_bench_test.go
@@ -11,9 +11,9 @@
 	"github.com/rosemarypass/rosemarypass/internal/standin/caller"
 )
 
-// BenchmarkFleet runs real processes on loopback and prints what each role
-// uses, at rest and under load, beside the time in which a change is in force
-// everywhere. docs/CAPACITY.md compares it with the slopes.
+// BenchmarkFleet runs separate processes on loopback and prints the resources
+// that each role uses, idle and under load, and the time until a change is in
+// force in every daemon. docs/CAPACITY.md compares the results with its slopes.
 //
 //	go test ./cmd/rosemaryd -run xxx -bench Fleet -benchtime 1x
 func BenchmarkFleet(b *testing.B) {
@@ -30,7 +30,7 @@
 	}
 }
 
-// report prints each role's use during a period in which work runs.
+// report runs work for the given period and prints the resource usage of each role.
 func (f *fleet) report(title string, period time.Duration, work func(stop <-chan struct{})) {
 	f.tb.Helper()
 	before := make(map[*process]usage)
@@ -38,11 +38,11 @@
 		before[p] = f.usage(p)
 	}
 	stop := make(chan struct{})
-	var working sync.WaitGroup
-	working.Go(func() { work(stop) })
+	var running sync.WaitGroup
+	running.Go(func() { work(stop) })
 	time.Sleep(period)
 	close(stop)
-	working.Wait()
+	running.Wait()
 	fmt.Println(title)
 	for _, role := range []string{"control", "entry", "agent", "standin"} {
 		f.reportRole(role, period, before)
@@ -51,11 +51,11 @@
 
 func (f *fleet) reportRole(role string, period time.Duration, before map[*process]usage) {
 	var shares, sizes, rates []float64
-	for _, p := range f.role(role) {
+	for _, p := range f.processesWithRole(role) {
 		now := f.usage(p)
-		shares = append(shares, 100*(now.processor-before[p].processor).Seconds()/period.Seconds())
-		sizes = append(sizes, float64(now.resident)/1e6)
-		rates = append(rates, float64(now.control-before[p].control)/period.Seconds()/1000)
+		shares = append(shares, 100*(now.cpuTime-before[p].cpuTime).Seconds()/period.Seconds())
+		sizes = append(sizes, float64(now.residentBytes)/1e6)
+		rates = append(rates, float64(now.rpcBytes-before[p].rpcBytes)/period.Seconds()/1000)
 	}
 	slices.Sort(shares)
 	slices.Sort(sizes)
@@ -67,7 +67,8 @@
 
 func median(sorted []float64) float64 { return sorted[len(sorted)/2] }
 
-// reportChanges changes the contract and waits until every daemon confirms.
+// reportChanges changes the contract n times, waits each time until the change is
+// in force in every daemon, and prints how long that took.
 func (f *fleet) reportChanges(n int) {
 	f.tb.Helper()
 	var times []float64
@@ -76,22 +77,23 @@
 		if err != nil {
 			f.tb.Fatal(err)
 		}
-		began := time.Now()
+		start := time.Now()
 		index := f.putContract(current.Revision)
 		report, err := f.client.InForce(f.tb.Context(), index, 10*time.Second)
 		if err != nil || !report.Done {
 			f.tb.Fatalf("%+v, %v", report, err)
 		}
-		times = append(times, time.Since(began).Seconds()*1000)
+		times = append(times, time.Since(start).Seconds()*1000)
 	}
 	slices.Sort(times)
 	fmt.Printf("%d changes in force everywhere: median %.0f ms, most %.0f ms\n", n, median(times), times[n-1])
 }
 
-// load sends requests at a rate to the entries in turn and prints how they fared.
+// load returns a function that sends perSecond requests per second to the entries
+// in turn until it is stopped, and prints how many were answered and how many failed.
 func (f *fleet) load(perSecond, tokens int) func(<-chan struct{}) {
-	asking := caller.New(fleetCallerKey, 64)
-	entries := f.role("entry")
+	client := caller.New(fleetCallerKey, 64)
+	entries := f.processesWithRole("entry")
 	var answered, failed atomic.Int64
 	return func(stop <-chan struct{}) {
 		ticker := time.NewTicker(time.Second / time.Duration(perSecond))
@@ -105,7 +107,7 @@
 				return
 			case <-ticker.C:
 				sent.Go(func() {
-					if err := asking.Complete(entries[i%len(entries)].url(), model(i), tokens); err != nil {
+					if err := client.Complete(entries[i%len(entries)].url(), adapterName(i), tokens); err != nil {
 						failed.Add(1)
 						return
 					}
--- a/cmd/rosemaryd/fleet_test.go
+++ b/cmd/rosemaryd/fleet_test.go
@@ -28,7 +28,7 @@
 	fleetModel       = "base"
 )
 
-// process is one running rosemaryd.
+// process is a running rosemaryd process.
 type process struct {
 	name   string
 	role   string
@@ -47,24 +47,24 @@
 	peers     []string
 	operators []string
 	processes []*process
-	// asked are the operators' addresses that client talks to.
-	asked  []string
-	client *operator.Client
+	// clientAddresses are the operator addresses that client uses.
+	clientAddresses []string
+	client          *operator.Client
 }
 
-// startFleet builds rosemaryd and starts a fleet, with one contract and some
-// adapters; it returns once every process is ready.
+// startFleet builds rosemaryd and starts a fleet with one contract and eight
+// adapters. It returns once every process is ready and has the configuration.
 func startFleet(tb testing.TB, controls, entries, agents int) *fleet {
 	tb.Helper()
 	f := &fleet{tb: tb, folder: tb.TempDir()}
-	f.build()
+	f.buildBinary()
 	f.peers, f.operators = freePorts(tb, controls), freePorts(tb, controls)
-	f.useOperators(f.operators)
-	tb.Cleanup(f.kill)
+	f.connectClient(f.operators)
+	tb.Cleanup(f.killAll)
 	for i := range controls {
 		f.startControl(i, i == 0)
 	}
-	f.awaitControl()
+	f.awaitMembers()
 	sample := f.writeSample()
 	for i := range agents {
 		f.startAgent(i)
@@ -80,10 +80,10 @@
 	return f
 }
 
-// useOperators talks to the control instances at these operators' addresses,
-// by a client that has seen no unconfirmed answer yet.
-func (f *fleet) useOperators(addresses []string) {
-	f.asked = addresses
+// connectClient replaces the client by a new one for the control instances at the
+// given operator addresses. A new client has seen no unconfirmed answer.
+func (f *fleet) connectClient(addresses []string) {
+	f.clientAddresses = addresses
 	var urls []string
 	for _, address := range addresses {
 		urls = append(urls, "http://"+address)
@@ -91,7 +91,7 @@
 	f.client = operator.NewClient(operator.Options{URLs: urls, Key: fleetOperatorKey})
 }
 
-func (f *fleet) build() {
+func (f *fleet) buildBinary() {
 	f.tb.Helper()
 	f.binary = filepath.Join(f.folder, "rosemaryd")
 	if out, err := exec.Command("go", "build", "-o", f.binary, ".").CombinedOutput(); err != nil {
@@ -108,7 +108,7 @@
 	return addresses
 }
 
-func (f *fleet) base(name string) settings.Settings {
+func (f *fleet) baseSettings(name string) settings.Settings {
 	return settings.Settings{
 		Instance:       name,
 		DataCentre:     "amman-a",
@@ -120,7 +120,7 @@
 }
 
 func (f *fleet) startControl(i int, bootstrap bool) *process {
-	s := f.base(fmt.Sprintf("control-%d", i))
+	s := f.baseSettings(fmt.Sprintf("control-%d", i))
 	s.Control = &settings.Control{
 		PeerListen:        f.peers[i],
 		PeerAddress:       f.peers[i],
@@ -134,7 +134,7 @@
 }
 
 func (f *fleet) startEntry(i int) {
-	s := f.base(fmt.Sprintf("entry-%d", i))
+	s := f.baseSettings(fmt.Sprintf("entry-%d", i))
 	s.Entry = &settings.Entry{Listen: freePorts(f.tb, 1)[0]}
 	f.serve("entry", s, s.Entry.Listen)
 }
@@ -142,7 +142,7 @@
 func (f *fleet) startAgent(i int) {
 	engine := freePorts(f.tb, 1)[0]
 	f.start("standin", fmt.Sprintf("engine-%d", i), "standin", "--engine", engine, "--model", fleetModel, "--slots", "8")
-	s := f.base(fmt.Sprintf("agent-%d", i))
+	s := f.baseSettings(fmt.Sprintf("agent-%d", i))
 	s.Agent = &settings.Agent{
 		Listen:    freePorts(f.tb, 1)[0],
 		Server:    fmt.Sprintf("dabke-llm-%d", i),
@@ -180,14 +180,14 @@
 	return p
 }
 
-func (f *fleet) kill() {
+func (f *fleet) killAll() {
 	for _, p := range f.processes {
 		_ = p.cmd.Process.Kill()
 		_ = p.cmd.Wait()
 	}
 }
 
-func (f *fleet) role(role string) []*process {
+func (f *fleet) processesWithRole(role string) []*process {
 	var found []*process
 	for _, p := range f.processes {
 		if p.role == role {
@@ -197,8 +197,8 @@
 	return found
 }
 
-// await polls until a condition holds; it fails only when nothing moves for a
-// long time.
+// await polls until a condition holds. It fails the test after 1500 polls, at
+// least 30 s.
 func (f *fleet) await(what string, condition func() bool) {
 	f.tb.Helper()
 	for range 1500 {
@@ -212,7 +212,7 @@
 			f.tb.Logf("%s:\n%s", p.name, p.log)
 		}
 	}
-	f.tb.Fatalf("never came about: %s", what)
+	f.tb.Fatalf("timed out waiting for: %s", what)
 }
 
 func (f *fleet) awaitReady(p *process) {
@@ -230,7 +230,7 @@
 	})
 }
 
-func (f *fleet) awaitControl() {
+func (f *fleet) awaitMembers() {
 	f.tb.Helper()
 	f.await("a log with all its voters", func() bool {
 		members, err := f.client.Members(f.tb.Context())
@@ -261,17 +261,18 @@
 	})
 }
 
-// awaitInForce returns once every daemon works with the change at an index. A
-// ready entry may lack a change for as long as its freshness lease.
+// awaitInForce waits until the change at an index is in force in every daemon. A
+// ready entry may lack a change for up to the duration of its freshness lease.
 func (f *fleet) awaitInForce(index uint64) {
 	f.tb.Helper()
 	f.await("the change in force", func() bool {
-		report, err := f.client.InForce(f.tb.Context(), index, inForceWait)
+		report, err := f.client.InForce(f.tb.Context(), index, inForceTimeout)
 		return err == nil && report.Done
 	})
 }
 
-// writeSample returns the index of its last change.
+// writeSample writes the fleet's model, adapters and contract and returns the
+// index of the last change.
 func (f *fleet) writeSample() uint64 {
 	f.tb.Helper()
 	ctx := f.tb.Context()
@@ -288,8 +289,8 @@
 	return f.putContract(0)
 }
 
-// putContract writes the fleet's contract over the given revision and returns
-// the index of the change.
+// putContract replaces the given revision of the fleet's contract and returns the
+// index of the change.
 func (f *fleet) putContract(revision uint64) uint64 {
 	f.tb.Helper()
 	next := contract.Contract{
@@ -307,17 +308,17 @@
 	return result.Index
 }
 
-// model is the adapter that the i-th caller asks for.
-func model(i int) string { return fmt.Sprintf("plan-%d@1", i%8) }
+// adapterName returns the adapter that the i-th caller requests.
+func adapterName(i int) string { return fmt.Sprintf("plan-%d@1", i%8) }
 
-// url is where callers reach an entry.
+// url returns the base URL at which callers reach an entry.
 func (p *process) url() string { return "http://" + p.listen }
 
-// usage is what a process has used so far.
+// usage holds the resources that a process has used so far.
 type usage struct {
-	processor time.Duration
-	resident  int64
-	control   int64
+	cpuTime       time.Duration
+	residentBytes int64
+	rpcBytes      int64
 }
 
 const clockTicksPerSecond = 100
@@ -332,18 +333,18 @@
 	user, _ := strconv.ParseInt(fields[11], 10, 64)
 	system, _ := strconv.ParseInt(fields[12], 10, 64)
 	pages, _ := strconv.ParseInt(fields[21], 10, 64)
-	var control int64
+	var rpcBytes int64
 	if p.status != "" {
-		control = f.counter(p, "rpc_bytes_sent") + f.counter(p, "rpc_bytes_received")
+		rpcBytes = f.counter(p, "rpc_bytes_sent") + f.counter(p, "rpc_bytes_received")
 	}
 	return usage{
-		processor: time.Duration(user+system) * time.Second / clockTicksPerSecond,
-		resident:  pages * int64(os.Getpagesize()),
-		control:   control,
+		cpuTime:       time.Duration(user+system) * time.Second / clockTicksPerSecond,
+		residentBytes: pages * int64(os.Getpagesize()),
+		rpcBytes:      rpcBytes,
 	}
 }
 
-// counter reads one of a process's counters.
+// counter returns the value of a counter of a process.
 func (f *fleet) counter(p *process, name string) int64 {
 	f.tb.Helper()
 	response, err := http.Get("http://" + p.status + "/debug/vars")
--- a/cmd/rosemaryd/main.go
+++ b/cmd/rosemaryd/main.go
@@ -29,7 +29,7 @@
 
 type checkCommand struct {
 	Settings string `arg:"--settings,required" help:"settings file to check"`
-	Fleet    bool   `arg:"--fleet" help:"the file is one of a process that finds the others by seeds"`
+	Fleet    bool   `arg:"--fleet" help:"check as settings of a fleet process, which finds the other processes by seeds"`
 }
 
 type demoCommand struct {
@@ -42,14 +42,14 @@
 	Model   string `arg:"--model" default:"base" help:"the stand-in engine's base model"`
 	Slots   int    `arg:"--slots" default:"4" help:"the stand-in engine's adapter slots"`
 
-	Capacity    int           `arg:"--capacity" default:"16" help:"most requests in one batch"`
+	Capacity    int           `arg:"--capacity" default:"16" help:"maximum number of requests in a batch"`
 	TokenTime   time.Duration `arg:"--token-time" default:"10ms" help:"time between tokens"`
-	LoadTime    time.Duration `arg:"--load-time" default:"250ms" help:"time that a load takes"`
+	LoadTime    time.Duration `arg:"--load-time" default:"250ms" help:"duration of an adapter load"`
 	ReportLag   time.Duration `arg:"--report-lag" help:"age of the load report"`
-	Fencing     bool          `arg:"--fencing" help:"refuse orders with an old fencing number"`
+	Fencing     bool          `arg:"--fencing" help:"reject commands with an outdated fencing number"`
 	FailLoads   []string      `arg:"--fail-load,separate" help:"adapter@version whose loads fail; repeatable"`
-	CrashMarker string        `arg:"--crash-marker" help:"a prompt with this text makes the engine restart cold"`
-	CallTime    time.Duration `arg:"--call-time" help:"time that a call of the stand-in service takes"`
+	CrashMarker string        `arg:"--crash-marker" help:"text in a prompt that makes the engine restart cold"`
+	CallTime    time.Duration `arg:"--call-time" help:"duration of a call to the stand-in service"`
 }
 
 type platformCommand struct {
@@ -60,9 +60,9 @@
 	Serve   *serveCommand   `arg:"subcommand:serve" help:"run the roles that the settings name"`
 	Check   *checkCommand   `arg:"subcommand:check" help:"check a settings file"`
 	Demo    *demoCommand    `arg:"subcommand:demo" help:"run everything in one process on loopback"`
-	Standin *standinCommand `arg:"subcommand:standin" help:"run stand-in backend servers, for trials"`
+	Standin *standinCommand `arg:"subcommand:standin" help:"run stand-in backend servers for testing"`
 
-	Platform *platformCommand `arg:"subcommand:platform" help:"run a role on the users' platform, which names the settings file"`
+	Platform *platformCommand `arg:"subcommand:platform" help:"run a role on the users' platform, which provides the path of the settings file"`
 }
 
 // Description is shown by --help.
@@ -70,7 +70,7 @@
 	return "rosemaryd serves very many LoRA adapters before a fleet of model engines."
 }
 
-// demoStopTimeout bounds the demo's drain.
+// demoStopTimeout bounds the graceful stop of the demo.
 const demoStopTimeout = 30 * time.Second
 
 func main() {
@@ -158,10 +158,10 @@
 }
 
 func runStandin(c standinCommand) error {
-	failures := make(chan error, 2)
+	errs := make(chan error, 2)
 	listen := func(address string, handler http.Handler) {
 		server := &http.Server{Addr: address, Handler: handler, ReadHeaderTimeout: time.Second}
-		failures <- server.ListenAndServe()
+		errs <- server.ListenAndServe()
 	}
 	if c.Engine != "" {
 		go listen(c.Engine, engine.New(c.engineOptions()).Handler())
@@ -172,12 +172,13 @@
 	if c.Engine == "" && c.Service == "" {
 		return errors.New("standin: one of --engine, --service is required")
 	}
-	return <-failures
+	return <-errs
 }
 
-// stopOnSignal waits for a signal, then stops within the timeout; a second
-// signal cuts what is still in flight. Cut requests are an error, so that the
-// exit code shows them.
+// stopOnSignal waits for SIGTERM or SIGINT and then calls stop with a context
+// that expires after timeout. A second signal cancels the context, which aborts
+// the requests in flight. stopOnSignal returns an error if requests were aborted,
+// so that the exit code reflects it.
 func stopOnSignal(timeout time.Duration, stop func(context.Context) int) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
