--- a/cmd/rosemaryctl/ask.go
+++ b/cmd/rosemaryctl/ask.go
@@ -19,8 +19,8 @@
 	callerFlags
 	Prompt    string `arg:"positional,required"`
 	Model     string `arg:"--model,required" placeholder:"ADAPTER@VERSION" help:"adapter and version"`
-	MaxTokens int    `arg:"--max-tokens" default:"64" help:"tokens to generate at most"`
-	Stream    bool   `arg:"--stream" help:"print the stream's events as they come"`
+	MaxTokens int    `arg:"--max-tokens" default:"64" help:"maximum number of tokens to generate"`
+	Stream    bool   `arg:"--stream" help:"print the events of the stream as they arrive"`
 }
 
 type completionRequest struct {
@@ -36,7 +36,7 @@
 	} `json:"choices"`
 }
 
-// askReport is what ask prints for programs.
+// askReport is the JSON output of ask.
 type askReport struct {
 	Status    int    `json:"status"`
 	Outcome   string `json:"outcome"`
@@ -47,7 +47,7 @@
 func (c *askCommand) run(ctx context.Context, t *tool) error {
 	response, err := c.send(ctx)
 	if err != nil {
-		return unsentOrUnknown(err)
+		return classifySendError(err)
 	}
 	defer response.Body.Close()
 	report := askReport{
@@ -61,9 +61,9 @@
 		err = t.showAnswer(&report, response.Body)
 	}
 	if err != nil {
-		return errors.Wrap(errOutcome, err.Error())
+		return errors.Wrap(errOutcomeUnknown, err.Error())
 	}
-	return report.verdict()
+	return report.exitError()
 }
 
 func (c *askCommand) send(ctx context.Context) (*http.Response, error) {
@@ -80,14 +80,15 @@
 	return http.DefaultClient.Do(request)
 }
 
-// unsentOrUnknown tells a connection that was never made from an answer that
-// was lost.
-func unsentOrUnknown(err error) error {
+// classifySendError distinguishes a connection that could not be established, so
+// that the request was not run, from a lost answer, after which the outcome of the
+// request is unknown.
+func classifySendError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return errors.Wrap(errNotRun, err.Error())
 	}
-	return errors.Wrap(errOutcome, err.Error())
+	return errors.Wrap(errOutcomeUnknown, err.Error())
 }
 
 func (t *tool) showAnswer(report *askReport, body io.Reader) error {
@@ -108,12 +109,12 @@
 	return nil
 }
 
-func (r askReport) verdict() error {
-	said, err := outcome.Parse(r.Outcome)
+func (r askReport) exitError() error {
+	result, err := outcome.Parse(r.Outcome)
 	switch {
-	case err != nil || said == outcome.Unknown:
-		return errOutcome
-	case said == outcome.NotRun:
+	case err != nil || result == outcome.Unknown:
+		return errOutcomeUnknown
+	case result == outcome.NotRun:
 		return errNotRun
 	default:
 		return nil
--- a/cmd/rosemaryctl/catalogue.go
+++ b/cmd/rosemaryctl/catalogue.go
@@ -13,17 +13,17 @@
 type adapterCommand struct {
 	Add    *adapterAdd    `arg:"subcommand:add" help:"add an adapter version"`
 	List   *adapterList   `arg:"subcommand:list" help:"list adapter versions"`
-	Retire *adapterRetire `arg:"subcommand:retire" help:"withdraw an adapter version for good"`
+	Retire *adapterRetire `arg:"subcommand:retire" help:"permanently withdraw an adapter version"`
 }
 
 type adapterAdd struct {
 	Ref    string `arg:"positional,required" placeholder:"ADAPTER@VERSION"`
 	Model  string `arg:"--model,required" help:"base model"`
-	Source string `arg:"--source,required" help:"place in the weight store"`
+	Source string `arg:"--source,required" help:"location in the weight store"`
 }
 
 type adapterList struct {
-	Prefix string `arg:"positional" help:"beginning of the adapters' names"`
+	Prefix string `arg:"positional" help:"prefix of the adapter names"`
 }
 
 type adapterRetire struct {
@@ -44,7 +44,7 @@
 		return err
 	}
 	result, err := t.client.PutAdapter(ctx, catalogue.Adapter{Ref: ref, BaseModel: c.Model, Source: c.Source})
-	return t.finish(ctx, result, err)
+	return t.reportChange(ctx, result, err)
 }
 
 func (c *adapterList) run(ctx context.Context, t *tool) error {
@@ -55,7 +55,7 @@
 	t.show(all, func() {
 		rows := make([][]string, 0, len(all))
 		for _, a := range all {
-			rows = append(rows, []string{a.Ref.String(), a.BaseModel, a.Source, yes(a.Retired)})
+			rows = append(rows, []string{a.Ref.String(), a.BaseModel, a.Source, yesOrEmpty(a.Retired)})
 		}
 		t.table("ADAPTER,BASE MODEL,SOURCE,RETIRED", rows)
 	})
@@ -68,7 +68,7 @@
 		return err
 	}
 	result, err := t.client.RetireAdapter(ctx, ref)
-	return t.finish(ctx, result, err)
+	return t.reportChange(ctx, result, err)
 }
 
 type modelCommand struct {
@@ -84,7 +84,7 @@
 
 func (c *modelAdd) run(ctx context.Context, t *tool) error {
 	result, err := t.client.PutModel(ctx, catalogue.Model{Name: c.Name})
-	return t.finish(ctx, result, err)
+	return t.reportChange(ctx, result, err)
 }
 
 func (*modelList) run(ctx context.Context, t *tool) error {
@@ -110,7 +110,7 @@
 
 type servicePut struct {
 	File     string  `arg:"positional,required" help:"service as JSON with comments; - for standard input"`
-	Revision *uint64 `arg:"--revision" help:"revision that the change is based on; the present one when left out"`
+	Revision *uint64 `arg:"--revision" help:"revision that the change is based on; defaults to the current revision"`
 }
 
 type serviceList struct{}
@@ -131,9 +131,9 @@
 		}
 		next.Revision = current.Revision
 	}
-	set(&next.Revision, c.Revision)
+	setIfGiven(&next.Revision, c.Revision)
 	result, err := t.client.PutService(ctx, next)
-	return t.finish(ctx, result, err)
+	return t.reportChange(ctx, result, err)
 }
 
 func (*serviceList) run(ctx context.Context, t *tool) error {
@@ -146,7 +146,7 @@
 		for _, service := range all {
 			for _, route := range service.Routes {
 				rows = append(rows, []string{
-					service.Name, fmt.Sprint(service.Revision), route.Method, route.PathPrefix, yes(route.Idempotent), yes(route.RequireKey),
+					service.Name, fmt.Sprint(service.Revision), route.Method, route.PathPrefix, yesOrEmpty(route.Idempotent), yesOrEmpty(route.RequireKey),
 				})
 			}
 		}
--- a/cmd/rosemaryctl/claim.go
+++ b/cmd/rosemaryctl/claim.go
@@ -14,13 +14,13 @@
 	"github.com/rosemarypass/rosemarypass/internal/operator"
 )
 
-// callerFlags say which entry is called, and with whose key.
+// callerFlags are the flags of the entry to call and of the caller's key.
 type callerFlags struct {
 	Entry     string `arg:"--entry,env:ROSEMARY_ENTRY" default:"http://127.0.0.1:8080" help:"URL of an entry"`
 	CallerKey string `arg:"--caller-key,env:ROSEMARY_CALLER_KEY" help:"caller's key"`
 }
 
-// get calls a path of the entry as the caller.
+// get sends a GET request for a path of the entry with the caller's key.
 func (f callerFlags) get(ctx context.Context, path string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, f.Entry+path, http.NoBody)
 	if err != nil {
@@ -35,15 +35,16 @@
 	IdempotencyKey string `arg:"positional,required" placeholder:"IDEMPOTENCY-KEY"`
 }
 
-// claimReport is what an entry knows of a call that must run at most once.
+// claimReport is the entry's record of a call with an idempotency key, which must
+// run at most once.
 type claimReport struct {
 	Key   string      `json:"key"`
 	State claim.State `json:"state"`
-	// Status is the HTTP status of the recorded answer, 0 without one.
+	// Status is the HTTP status of the recorded answer, or 0 if there is none.
 	Status int `json:"status"`
 }
 
-// maxClaimBytes bounds an entry's answer about a claim.
+// maxClaimBytes bounds the size of an entry's answer about a claim.
 const maxClaimBytes = 1 << 20
 
 func (c *claimCommand) run(ctx context.Context, t *tool) error {
@@ -56,7 +57,7 @@
 	if err != nil {
 		return errors.Wrap(err, "read answer")
 	}
-	if err := claimFailure(response.StatusCode, data); err != nil {
+	if err := claimError(response.StatusCode, data); err != nil {
 		return err
 	}
 	var report claimReport
@@ -66,15 +67,15 @@
 	t.show(report, func() {
 		fmt.Fprintf(t.out, "key     %s\nstate   %s\nstatus  %d\n", report.Key, report.State, report.Status)
 	})
-	return report.verdict()
+	return report.exitError()
 }
 
-func claimFailure(status int, data []byte) error {
+func claimError(status int, data []byte) error {
 	switch status {
 	case http.StatusOK:
 		return nil
 	case http.StatusNotFound:
-		return errors.Wrap(operator.ErrNotFound, "no call was claimed under this key")
+		return errors.Wrap(operator.ErrNotFound, "no call was claimed with this key")
 	case http.StatusUnauthorized:
 		return errors.Wrap(operator.ErrUnauthorized, "the caller's key")
 	default:
@@ -82,14 +83,15 @@
 	}
 }
 
-// verdict turns the state into the exit code that ask has for the same fate.
-func (r claimReport) verdict() error {
+// exitError returns the error for the claim's state, whose exit code is the one
+// that ask uses for the same outcome.
+func (r claimReport) exitError() error {
 	switch r.State {
 	case claim.Finished:
 		return nil
 	case claim.Free:
 		return errNotRun
 	default:
-		return errOutcome
+		return errOutcomeUnknown
 	}
 }
--- a/cmd/rosemaryctl/claim_test.go
+++ b/cmd/rosemaryctl/claim_test.go
@@ -11,9 +11,9 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// A caller lost the answer to its deposit, and the clerk asks whether the money
-// was taken.
-func TestClaimTellsWhatBecameOfACall(t *testing.T) {
+// Guards against a wrong answer about whether a call has run, which a caller asks
+// for after it lost the response to that call.
+func TestClaimExitCodes(t *testing.T) {
 	d, err := demo.Start("127.0.0.1:0", zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -35,13 +35,13 @@
 		key, caller string
 		want        exitCode
 	}{
-		{"deposit-1", demo.CallerKey, exitDone},
+		{"deposit-1", demo.CallerKey, exitOK},
 		{"deposit-2", demo.CallerKey, exitNotFound},
 		{"deposit-1", "nobody", exitUnauthorized},
 	}
 	for _, c := range cases {
 		code, out, errOut := ctl(t, d.OperatorURL(), "claim", c.key, "--entry", entry, "--caller-key", c.caller)
-		if code != c.want || c.want == exitDone && !strings.Contains(out, "finished") {
+		if code != c.want || c.want == exitOK && !strings.Contains(out, "finished") {
 			t.Errorf("%s by %s: exit %d, want %d: %s%s", c.key, c.caller, code, c.want, out, errOut)
 		}
 	}
--- a/cmd/rosemaryctl/completion.go
+++ b/cmd/rosemaryctl/completion.go
@@ -13,13 +13,14 @@
 	Shell string `arg:"positional,required" help:"bash or zsh"`
 }
 
-// words are what may follow a command line, by the subcommands so far.
-type words struct {
+// completionLevel holds the words that can follow a path of subcommands.
+type completionLevel struct {
 	path  string
 	words []string
 }
 
-// completionHead finds the path of subcommands before the word to complete.
+// completionHead is the start of the script. It determines the path of
+// subcommands before the word to complete.
 const completionHead = `_rosemaryctl() {
   local path="" word
   for word in "${COMP_WORDS[@]:1:COMP_CWORD-1}"; do
@@ -28,7 +29,7 @@
   local words=""
   case "${path# }" in`
 
-// completionTail offers the words found.
+// completionTail is the end of the script. It offers the words of the path.
 const completionTail = `  esac
   COMPREPLY=($(compgen -W "$words" -- "${COMP_WORDS[COMP_CWORD]}"))
 }
@@ -43,21 +44,22 @@
 		return errors.Wrapf(errUsage, "no completion for shell %q", c.Shell)
 	}
 	fmt.Fprintln(t.out, completionHead)
-	for _, level := range collect("", reflect.TypeFor[arguments]()) {
+	for _, level := range completionLevels("", reflect.TypeFor[arguments]()) {
 		fmt.Fprintf(t.out, "    %q) words=%q ;;\n", level.path, strings.Join(level.words, " "))
 	}
 	fmt.Fprintln(t.out, completionTail)
 	return nil
 }
 
-// collect reads the subcommands and flags from the arguments' declarations.
-func collect(path string, declared reflect.Type) []words {
-	level := words{path: path}
-	var below []words
-	for i := range declared.NumField() {
-		field := declared.Field(i)
+// completionLevels returns the completions of argsType, a struct of go-arg
+// arguments, and of its subcommands. It reads them from the arg tags.
+func completionLevels(path string, argsType reflect.Type) []completionLevel {
+	level := completionLevel{path: path}
+	var nested []completionLevel
+	for i := range argsType.NumField() {
+		field := argsType.Field(i)
 		if field.Anonymous {
-			level.words = append(level.words, collect(path, field.Type)[0].words...)
+			level.words = append(level.words, completionLevels(path, field.Type)[0].words...)
 			continue
 		}
 		for part := range strings.SplitSeq(field.Tag.Get("arg"), ",") {
@@ -65,11 +67,11 @@
 			switch {
 			case isCommand:
 				level.words = append(level.words, name)
-				below = append(below, collect(strings.TrimSpace(path+" "+name), field.Type.Elem())...)
+				nested = append(nested, completionLevels(strings.TrimSpace(path+" "+name), field.Type.Elem())...)
 			case strings.HasPrefix(part, "--"):
 				level.words = append(level.words, part)
 			}
 		}
 	}
-	return append([]words{level}, below...)
+	return append([]completionLevel{level}, nested...)
 }
--- a/cmd/rosemaryctl/config.go
+++ b/cmd/rosemaryctl/config.go
@@ -11,14 +11,14 @@
 
 type configCommand struct {
 	Export *configExport `arg:"subcommand:export" help:"print the whole configuration as JSON"`
-	Import *configImport `arg:"subcommand:import" help:"write what differs from a file; importing twice changes nothing"`
+	Import *configImport `arg:"subcommand:import" help:"apply the differences from a file; a repeated import changes nothing"`
 }
 
 type configExport struct{}
 
 type configImport struct {
 	File string `arg:"positional,required" help:"configuration as JSON with comments; - for standard input"`
-	All  bool   `arg:"--all" help:"list unchanged objects too"`
+	All  bool   `arg:"--all" help:"also list unchanged objects"`
 }
 
 func (*configExport) run(ctx context.Context, t *tool) error {
@@ -38,15 +38,15 @@
 	if err != nil {
 		return err
 	}
-	counts, last := count(report)
+	counts, last := countOutcomes(report)
 	t.show(report, func() { t.showImport(report, counts, c.All) })
 	if failed := counts[operator.Failed]; failed > 0 {
-		return errors.Errorf("%d objects failed; import again after a look at them", failed)
+		return errors.Errorf("%d objects failed; check them and import again", failed)
 	}
-	return t.waitFor(ctx, last)
+	return t.waitInForce(ctx, last)
 }
 
-func count(report []operator.Imported) (counts map[operator.Outcome]int, last uint64) {
+func countOutcomes(report []operator.Imported) (counts map[operator.Outcome]int, last uint64) {
 	counts = make(map[operator.Outcome]int)
 	for _, object := range report {
 		counts[object.Outcome]++
--- a/cmd/rosemaryctl/contract.go
+++ b/cmd/rosemaryctl/contract.go
@@ -16,25 +16,25 @@
 	Get    *contractGet    `arg:"subcommand:get" help:"show a contract as JSON"`
 	List   *contractList   `arg:"subcommand:list" help:"list contracts"`
 	Change *contractChange `arg:"subcommand:change" help:"change a contract"`
-	Retire *contractRetire `arg:"subcommand:retire" help:"end a contract for good"`
+	Retire *contractRetire `arg:"subcommand:retire" help:"permanently end a contract"`
 }
 
-// clauses are the flags of a contract's fields.
-type clauses struct {
+// contractFlags are the flags that set a contract's fields.
+type contractFlags struct {
 	File              string         `arg:"--file" help:"whole contract as JSON with comments; - for standard input"`
-	RequestsPerSecond *float64       `arg:"--rate" help:"requests a second"`
-	TokensPerMinute   *int64         `arg:"--tokens-per-minute" help:"prompt and generated tokens a minute"`
-	Concurrency       *int           `arg:"--concurrency" help:"requests in flight"`
-	MaxWait           *time.Duration `arg:"--max-wait" help:"longest wait of a request"`
+	RequestsPerSecond *float64       `arg:"--rate" help:"maximum requests per second"`
+	TokensPerMinute   *int64         `arg:"--tokens-per-minute" help:"maximum prompt and generated tokens per minute"`
+	Concurrency       *int           `arg:"--concurrency" help:"maximum number of requests in flight"`
+	MaxWait           *time.Duration `arg:"--max-wait" help:"maximum time that a request waits"`
 	Adapters          []string       `arg:"--adapter,separate" help:"allowed adapter, a trailing * for a prefix; repeatable"`
 	Services          []string       `arg:"--service,separate" help:"allowed service; repeatable"`
 	Priority          *int           `arg:"--priority" help:"priority at engines"`
-	Share             *int           `arg:"--share" help:"weight when capacity is short"`
+	Share             *int           `arg:"--share" help:"weight when capacity is scarce"`
 }
 
 type contractCreate struct {
 	ID string `arg:"positional,required"`
-	clauses
+	contractFlags
 }
 
 type contractGet struct {
@@ -45,29 +45,29 @@
 
 type contractChange struct {
 	ID       string  `arg:"positional,required"`
-	Revision *uint64 `arg:"--revision" help:"revision that the change is based on; the present one when left out"`
-	clauses
+	Revision *uint64 `arg:"--revision" help:"revision that the change is based on; defaults to the current revision"`
+	contractFlags
 }
 
 type contractRetire struct {
 	ID       string  `arg:"positional,required"`
-	Revision *uint64 `arg:"--revision" help:"revision that the change is based on; the present one when left out"`
+	Revision *uint64 `arg:"--revision" help:"revision that the change is based on; defaults to the current revision"`
 }
 
-func set[T any](field *T, flag *T) {
+func setIfGiven[T any](field *T, flag *T) {
 	if flag != nil {
 		*field = *flag
 	}
 }
 
-// apply lays the flags over a contract.
-func (c clauses) apply(to *contract.Contract) {
-	set(&to.Limits.RequestsPerSecond, c.RequestsPerSecond)
-	set(&to.Limits.TokensPerMinute, c.TokensPerMinute)
-	set(&to.Limits.Concurrency, c.Concurrency)
-	set(&to.Limits.MaxWait, c.MaxWait)
-	set(&to.Priority, c.Priority)
-	set(&to.Share, c.Share)
+// apply sets the contract's fields for which flags are given.
+func (c contractFlags) apply(to *contract.Contract) {
+	setIfGiven(&to.Limits.RequestsPerSecond, c.RequestsPerSecond)
+	setIfGiven(&to.Limits.TokensPerMinute, c.TokensPerMinute)
+	setIfGiven(&to.Limits.Concurrency, c.Concurrency)
+	setIfGiven(&to.Limits.MaxWait, c.MaxWait)
+	setIfGiven(&to.Priority, c.Priority)
+	setIfGiven(&to.Share, c.Share)
 	if c.Adapters != nil {
 		to.Adapters = c.Adapters
 	}
@@ -86,7 +86,7 @@
 	c.apply(&next)
 	next.ID, next.Revision = c.ID, 0
 	result, err := t.client.PutContract(ctx, next)
-	return t.finish(ctx, result, err)
+	return t.reportChange(ctx, result, err)
 }
 
 func (c *contractGet) run(ctx context.Context, t *tool) error {
@@ -108,7 +108,7 @@
 			rows = append(rows, []string{
 				c.ID, fmt.Sprint(c.Revision), fmt.Sprint(c.Limits.RequestsPerSecond), fmt.Sprint(c.Limits.TokensPerMinute),
 				fmt.Sprint(c.Limits.Concurrency), c.Limits.MaxWait.String(), fmt.Sprint(c.Share), fmt.Sprint(len(c.KeyHashes)),
-				strings.Join(c.Adapters, ","), strings.Join(c.Services, ","), yes(c.Retired),
+				strings.Join(c.Adapters, ","), strings.Join(c.Services, ","), yesOrEmpty(c.Retired),
 			})
 		}
 		t.table("CONTRACT,REVISION,RATE,TOKENS/MIN,CONCURRENCY,MAX WAIT,SHARE,KEYS,ADAPTERS,SERVICES,RETIRED", rows)
@@ -116,8 +116,9 @@
 	return nil
 }
 
-// run lays the flags or the file over the contract as it stands. The revision
-// is the file's when it names one, else the one just read.
+// run applies the flags to the current contract or, with --file, to the contract
+// in the file. The revision is that of --revision, else the file's if it names
+// one, else that of the contract just read.
 func (c *contractChange) run(ctx context.Context, t *tool) error {
 	current, err := t.client.Contract(ctx, c.ID)
 	if err != nil {
@@ -130,7 +131,7 @@
 			return err
 		}
 		if next.ID != "" && next.ID != c.ID {
-			return errors.Wrapf(errUsage, "the file holds contract %s", next.ID)
+			return errors.Wrapf(errUsage, "the file contains contract %s", next.ID)
 		}
 		if next.Revision == 0 {
 			next.Revision = current.Revision
@@ -138,9 +139,9 @@
 	}
 	c.apply(&next)
 	next.ID = c.ID
-	set(&next.Revision, c.Revision)
+	setIfGiven(&next.Revision, c.Revision)
 	result, err := t.client.PutContract(ctx, next)
-	return t.finish(ctx, result, err)
+	return t.reportChange(ctx, result, err)
 }
 
 func (c *contractRetire) run(ctx context.Context, t *tool) error {
@@ -149,12 +150,12 @@
 		return err
 	}
 	next.Retired = true
-	set(&next.Revision, c.Revision)
+	setIfGiven(&next.Revision, c.Revision)
 	result, err := t.client.PutContract(ctx, next)
-	return t.finish(ctx, result, err)
+	return t.reportChange(ctx, result, err)
 }
 
-func yes(value bool) string {
+func yesOrEmpty(value bool) string {
 	if value {
 		return "yes"
 	}
--- a/cmd/rosemaryctl/exit.go
+++ b/cmd/rosemaryctl/exit.go
@@ -8,30 +8,31 @@
 	"github.com/rosemarypass/rosemarypass/internal/operator"
 )
 
-// exitCode is the process's exit code; docs/operators/exit-codes.md lists them.
+// exitCode is the exit code of the process. The codes are documented in
+// docs/operators/exit-codes.md.
 type exitCode int
 
 const (
-	exitDone         exitCode = 0
-	exitFailed       exitCode = 1
-	exitUsage        exitCode = 2
-	exitConflict     exitCode = 3
-	exitInvalid      exitCode = 4
-	exitNotFound     exitCode = 5
-	exitUnknown      exitCode = 6
-	exitUnauthorized exitCode = 7
-	exitNotInForce   exitCode = 8
-	exitNotRun       exitCode = 9
-	exitOutcome      exitCode = 10
-	exitUnreachable  exitCode = 11
+	exitOK             exitCode = 0
+	exitFailed         exitCode = 1
+	exitUsage          exitCode = 2
+	exitConflict       exitCode = 3
+	exitInvalid        exitCode = 4
+	exitNotFound       exitCode = 5
+	exitChangeUnknown  exitCode = 6
+	exitUnauthorized   exitCode = 7
+	exitNotInForce     exitCode = 8
+	exitNotRun         exitCode = 9
+	exitOutcomeUnknown exitCode = 10
+	exitUnreachable    exitCode = 11
 )
 
-// Errors of the tool itself.
+// Errors that originate in rosemaryctl itself.
 var (
-	errNotInForce = errors.New("accepted, but not in force everywhere yet")
-	errNotRun     = errors.New("the request was not run; it may be sent again")
-	errOutcome    = errors.New("the request may or may not have run")
-	errUsage      = errors.New("usage")
+	errNotInForce     = errors.New("accepted, but not in force everywhere yet")
+	errNotRun         = errors.New("the request was not run; it may be sent again")
+	errOutcomeUnknown = errors.New("the request may or may not have run")
+	errUsage          = errors.New("usage")
 )
 
 var exitCodes = []struct {
@@ -41,39 +42,40 @@
 	{operator.ErrConflict, exitConflict},
 	{operator.ErrInvalid, exitInvalid},
 	{operator.ErrNotFound, exitNotFound},
-	{operator.ErrUnknown, exitUnknown},
+	{operator.ErrUnknown, exitChangeUnknown},
 	{operator.ErrUnauthorized, exitUnauthorized},
 	{operator.ErrUnreachable, exitUnreachable},
 	{errNotInForce, exitNotInForce},
 	{errNotRun, exitNotRun},
-	{errOutcome, exitOutcome},
+	{errOutcomeUnknown, exitOutcomeUnknown},
 	{errUsage, exitUsage},
 }
 
-// fail prints an error with what the operator needs next, and returns its code.
-func (t *tool) fail(err error) exitCode {
+// reportError prints an error with the information that the operator needs to
+// proceed, and returns its exit code.
+func (t *tool) reportError(err error) exitCode {
 	fmt.Fprintln(t.errors, "rosemaryctl:", err)
-	t.showWinner(err)
+	t.showCurrentObject(err)
 	t.warnUnconfirmed()
-	for _, known := range exitCodes {
-		if !errors.Is(err, known.cause) {
+	for _, mapping := range exitCodes {
+		if !errors.Is(err, mapping.cause) {
 			continue
 		}
-		if known.code == exitUnknown {
-			fmt.Fprintf(t.errors, "To learn the fate of a change, send it again with --operation %s\n", t.client.Operation())
+		if mapping.code == exitChangeUnknown {
+			fmt.Fprintf(t.errors, "To learn whether the change was accepted, send it again with --operation %s\n", t.client.Operation())
 		}
-		return known.code
+		return mapping.code
 	}
 	return exitFailed
 }
 
-// showWinner prints the object that the other writer left.
-func (t *tool) showWinner(err error) {
+// showCurrentObject prints the current object if another writer changed it first.
+func (t *tool) showCurrentObject(err error) {
 	var refused *operator.RefusedError
 	if !errors.As(err, &refused) || refused.Result.Winner == nil {
 		return
 	}
-	fmt.Fprintln(t.errors, "It now stands as:")
+	fmt.Fprintln(t.errors, "The current object is:")
 	writeJSON(t.errors, refused.Result.Winner)
 }
 
--- a/cmd/rosemaryctl/key.go
+++ b/cmd/rosemaryctl/key.go
@@ -13,8 +13,8 @@
 )
 
 type keyCommand struct {
-	Make   *keyMake   `arg:"subcommand:make" help:"make a key and print it once with its hash; nothing is stored"`
-	Add    *keyAdd    `arg:"subcommand:add" help:"make a key for a contract and print it once"`
+	Make   *keyMake   `arg:"subcommand:make" help:"generate a key and print it once with its hash; nothing is stored"`
+	Add    *keyAdd    `arg:"subcommand:add" help:"generate a key for a contract and print it once"`
 	Remove *keyRemove `arg:"subcommand:remove" help:"remove a key from a contract"`
 	Rotate *keyRotate `arg:"subcommand:rotate" help:"replace a key of a contract in one change"`
 }
@@ -23,7 +23,7 @@
 
 type keyAdd struct {
 	Contract string `arg:"positional,required"`
-	Hash     string `arg:"--hash" help:"hash of an existing key instead of a new one"`
+	Hash     string `arg:"--hash" help:"hash of an existing key to add instead of a new one"`
 }
 
 type keyRemove struct {
@@ -36,54 +36,56 @@
 	Hash     string `arg:"--hash,required" help:"hash of the key to replace"`
 }
 
-// keyBytes is the length of a key before its text form.
+// keyBytes is the number of random bytes in a key before it is encoded as text.
 const keyBytes = 32
 
-// madeKey is a key in the clear. It is printed once and kept nowhere.
-type madeKey struct {
+// generatedKey is a plaintext key with its hash. The key is printed once and not
+// stored.
+type generatedKey struct {
 	Key  string `json:"key"`
 	Hash string `json:"hash"`
 }
 
-func newKey() madeKey {
+func generateKey() generatedKey {
 	secret := make([]byte, keyBytes)
-	_, _ = rand.Read(secret) // it never fails; see its documentation
+	_, _ = rand.Read(secret) // rand.Read never returns an error
 	key := "rp_" + base64.RawURLEncoding.EncodeToString(secret)
-	return madeKey{Key: key, Hash: follow.HashKey(key)}
+	return generatedKey{Key: key, Hash: follow.HashKey(key)}
 }
 
-func (t *tool) showKey(made madeKey) {
-	t.show(made, func() { fmt.Fprintf(t.out, "key   %s\nhash  %s\nThe key is shown only here.\n", made.Key, made.Hash) })
+func (t *tool) showKey(key generatedKey) {
+	t.show(key, func() { fmt.Fprintf(t.out, "key   %s\nhash  %s\nThe key is shown only here.\n", key.Key, key.Hash) })
 }
 
 func (*keyMake) run(_ context.Context, t *tool) error {
-	t.showKey(newKey())
+	t.showKey(generateKey())
 	return nil
 }
 
 func (c *keyAdd) run(ctx context.Context, t *tool) error {
-	made := madeKey{Hash: c.Hash}
+	key := generatedKey{Hash: c.Hash}
 	if c.Hash == "" {
-		made = newKey()
+		key = generateKey()
 	}
-	return t.changeKeys(ctx, c.Contract, operator.KeyChange{Add: made.Hash}, made)
+	return t.changeKeys(ctx, c.Contract, operator.KeyChange{Add: key.Hash}, key)
 }
 
 func (c *keyRemove) run(ctx context.Context, t *tool) error {
-	return t.changeKeys(ctx, c.Contract, operator.KeyChange{Remove: c.Hash}, madeKey{})
+	return t.changeKeys(ctx, c.Contract, operator.KeyChange{Remove: c.Hash}, generatedKey{})
 }
 
 func (c *keyRotate) run(ctx context.Context, t *tool) error {
-	made := newKey()
-	return t.changeKeys(ctx, c.Contract, operator.KeyChange{Add: made.Hash, Remove: c.Hash}, made)
+	key := generateKey()
+	return t.changeKeys(ctx, c.Contract, operator.KeyChange{Add: key.Hash, Remove: c.Hash}, key)
 }
 
-// changeKeys prints a new key when it was stored, and also when that is not
-// known: a key that is stored but was never shown could not be used.
-func (t *tool) changeKeys(ctx context.Context, id string, change operator.KeyChange, made madeKey) error {
+// changeKeys changes the keys of a contract. It prints a new key if it was stored
+// and also if the outcome is unknown, because a key that is stored but was never
+// shown could not be used.
+func (t *tool) changeKeys(ctx context.Context, id string, change operator.KeyChange, key generatedKey) error {
 	result, err := t.client.ChangeKeys(ctx, id, change)
-	if made.Key != "" && (err == nil || errors.Is(err, operator.ErrUnknown)) {
-		t.showKey(made)
+	if key.Key != "" && (err == nil || errors.Is(err, operator.ErrUnknown)) {
+		t.showKey(key)
 	}
-	return t.finish(ctx, result, err)
+	return t.reportChange(ctx, result, err)
 }
--- a/cmd/rosemaryctl/limits.go
+++ b/cmd/rosemaryctl/limits.go
@@ -10,7 +10,7 @@
 )
 
 type limitsCommand struct {
-	Contract string `arg:"positional" help:"only this contract; without it, every contract in use"`
+	Contract string `arg:"positional" help:"contract to show; defaults to every contract in use"`
 }
 
 func (c *limitsCommand) run(ctx context.Context, t *tool) error {
--- a/cmd/rosemaryctl/main.go
+++ b/cmd/rosemaryctl/main.go
@@ -1,4 +1,4 @@
-// Command rosemaryctl is the operators' command line.
+// Command rosemaryctl is the command-line client for operators.
 package main
 
 import (
@@ -16,13 +16,13 @@
 )
 
 type arguments struct {
-	Control     []string      `arg:"--control,separate,env:ROSEMARY_CONTROL" help:"operators' URL of a control instance; repeatable, tried in turn; commas in the environment [default: http://127.0.0.1:7300]"`
+	Control     []string      `arg:"--control,separate,env:ROSEMARY_CONTROL" help:"operators' URL of a control instance; repeatable, tried in turn; comma-separated in the environment [default: http://127.0.0.1:7300]"`
 	OperatorKey string        `arg:"--key,env:ROSEMARY_KEY" help:"operator key"`
 	Authority   string        `arg:"--authority,env:ROSEMARY_AUTHORITY" help:"PEM file of the authority that signs the control instances, for https URLs"`
 	JSON        bool          `arg:"--json" help:"print JSON for programs"`
-	Operation   string        `arg:"--operation" help:"operation id of a change; sending it again returns the first answer"`
+	Operation   string        `arg:"--operation" help:"operation id of a change; repeating a change with the same id returns the first answer"`
 	Wait        bool          `arg:"--wait" help:"return once the change is in force in every living daemon"`
-	Timeout     time.Duration `arg:"--timeout" default:"30s" help:"longest time for --wait"`
+	Timeout     time.Duration `arg:"--timeout" default:"30s" help:"maximum time for --wait"`
 
 	Contract    *contractCommand    `arg:"subcommand:contract" help:"contracts"`
 	Key         *keyCommand         `arg:"subcommand:key" help:"callers' and operators' keys"`
@@ -30,14 +30,14 @@
 	Model       *modelCommand       `arg:"subcommand:model" help:"base models"`
 	Service     *serviceCommand     `arg:"subcommand:service" help:"plain services"`
 	Server      *serverCommand      `arg:"subcommand:server" help:"backend servers"`
-	Limits      *limitsCommand      `arg:"subcommand:limits" help:"the limits in force: use, leased, refused by clause"`
+	Limits      *limitsCommand      `arg:"subcommand:limits" help:"limits in force: usage, leases and refusals by clause"`
 	Members     *membersCommand     `arg:"subcommand:members" help:"members of the replicated log"`
 	Status      *statusCommand      `arg:"subcommand:status" help:"control instances, daemons and servers"`
-	Watch       *watchCommand       `arg:"subcommand:watch" help:"status, again and again"`
-	Config      *configCommand      `arg:"subcommand:config" help:"the whole configuration in a file"`
+	Watch       *watchCommand       `arg:"subcommand:watch" help:"status, refreshed periodically"`
+	Config      *configCommand      `arg:"subcommand:config" help:"export and import the whole configuration"`
 	Ask         *askCommand         `arg:"subcommand:ask" help:"send a request to an entry as a caller"`
-	Claim       *claimCommand       `arg:"subcommand:claim" help:"what became of a call with an Idempotency-Key"`
-	Certificate *certificateCommand `arg:"subcommand:certificate" help:"certificates between the system's processes"`
+	Claim       *claimCommand       `arg:"subcommand:claim" help:"outcome of a call with an Idempotency-Key"`
+	Certificate *certificateCommand `arg:"subcommand:certificate" help:"certificates for the connections between the system's processes"`
 	Completion  *completionCommand  `arg:"subcommand:completion" help:"print a shell completion script"`
 }
 
@@ -66,12 +66,12 @@
 
 const defaultControl = "http://127.0.0.1:7300"
 
-// command is one subcommand.
+// command is a subcommand.
 type command interface {
 	run(ctx context.Context, t *tool) error
 }
 
-// tool is what commands work with.
+// tool holds the client, the outputs and the options that commands use.
 type tool struct {
 	client  *operator.Client
 	out     io.Writer
@@ -93,13 +93,13 @@
 	var args arguments
 	parser, err := arg.NewParser(arg.Config{Program: "rosemaryctl", Out: out}, &args)
 	if err != nil {
-		panic("rosemaryctl: its arguments are declared wrongly: " + err.Error())
+		panic("rosemaryctl: invalid argument declarations: " + err.Error())
 	}
 	if code, done := parse(parser, args, line, out, errOut); done {
 		return code
 	}
-	chosen := find(parser.Subcommand())
-	if chosen == nil {
+	cmd := asCommand(parser.Subcommand())
+	if cmd == nil {
 		_ = parser.WriteHelpForSubcommand(errOut, parser.SubcommandNames()...)
 		return exitUsage
 	}
@@ -108,23 +108,23 @@
 		fmt.Fprintln(errOut, "rosemaryctl:", err)
 		return exitUsage
 	}
-	if err := chosen.run(ctx, t); err != nil {
-		return t.fail(err)
+	if err := cmd.run(ctx, t); err != nil {
+		return t.reportError(err)
 	}
 	t.warnUnconfirmed()
-	return exitDone
+	return exitOK
 }
 
 func parse(parser *arg.Parser, args arguments, line []string, out, errOut io.Writer) (exitCode, bool) {
 	switch err := parser.Parse(line); err {
 	case nil:
-		return exitDone, false
+		return exitOK, false
 	case arg.ErrHelp:
 		_ = parser.WriteHelpForSubcommand(out, parser.SubcommandNames()...)
-		return exitDone, true
+		return exitOK, true
 	case arg.ErrVersion:
 		fmt.Fprintln(out, args.Version())
-		return exitDone, true
+		return exitOK, true
 	default:
 		_ = parser.WriteUsageForSubcommand(errOut, parser.SubcommandNames()...)
 		fmt.Fprintln(errOut, "rosemaryctl:", err)
@@ -132,9 +132,9 @@
 	}
 }
 
-func find(subcommand any) command {
-	chosen, _ := subcommand.(command)
-	return chosen
+func asCommand(subcommand any) command {
+	cmd, _ := subcommand.(command)
+	return cmd
 }
 
 func newTool(args arguments, out, errOut io.Writer) (*tool, error) {
@@ -144,11 +144,11 @@
 	}
 	options := operator.Options{URLs: urls, Key: args.OperatorKey, Operation: args.Operation}
 	if args.Authority != "" {
-		trusting, err := operator.Trusting(args.Authority)
+		client, err := operator.Trusting(args.Authority)
 		if err != nil {
 			return nil, err
 		}
-		options.HTTP = trusting
+		options.HTTP = client
 	}
 	return &tool{
 		client:  operator.NewClient(options),
--- a/cmd/rosemaryctl/main_test.go
+++ b/cmd/rosemaryctl/main_test.go
@@ -27,7 +27,8 @@
 
 const operatorKey = "operator-key"
 
-// startControl runs one control instance and returns its operators' URL.
+// startControl runs one control instance without a data folder and returns the URL
+// of its operators' interface.
 func startControl(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,16 +45,17 @@
 	quotas := control.NewQuotas(quota.DefaultOptions(), c.SoleOwnership(), c.Agreed, zap.NewNop())
 	c.UseQuotas(quotas)
 	go quotas.Run(t.Context())
-	web := httptest.NewServer(c.OperatorHandler())
+	operatorServer := httptest.NewServer(c.OperatorHandler())
 	t.Cleanup(func() {
-		web.Close()
+		operatorServer.Close()
 		_ = listener.Close()
 		peers.Close()
 	})
-	return web.URL
+	return operatorServer.URL
 }
 
-// ctl runs one command line and returns its exit code and outputs.
+// ctl runs one command line and returns its exit code, standard output and
+// standard error.
 func ctl(t *testing.T, url string, line ...string) (exitCode, string, string) {
 	t.Helper()
 	var out, errOut bytes.Buffer
@@ -80,11 +82,11 @@
   "routes": [{ "method": "POST", "pathPrefix": "/deposits", "requireKey": true }],
 }`
 
-func TestEachCommandWorksAndExitsAsDocumented(t *testing.T) {
+func TestCommandOutputsAndExitCodes(t *testing.T) {
 	url := startControl(t)
-	silent := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
-	t.Cleanup(silent.Close)
-	noAnswer := silent.URL
+	abortingServer := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
+	t.Cleanup(abortingServer.Close)
+	abortingURL := abortingServer.URL
 	service := writeFile(t, serviceFile)
 	limits := []string{"--rate", "5", "--tokens-per-minute", "1000", "--concurrency", "4", "--max-wait", "10s"}
 	steps := []struct {
@@ -92,47 +94,47 @@
 		code exitCode
 		want string
 	}{
-		{append([]string{"contract", "create", "cascade", "--adapter", "quote-*"}, limits...), exitDone, "accepted at index 1"},
-		{[]string{"contract", "get", "cascade"}, exitDone, `"requestsPerSecond": 5`},
-		{[]string{"contract", "change", "cascade", "--rate", "9"}, exitDone, "accepted"},
+		{append([]string{"contract", "create", "cascade", "--adapter", "quote-*"}, limits...), exitOK, "accepted at index 1"},
+		{[]string{"contract", "get", "cascade"}, exitOK, `"requestsPerSecond": 5`},
+		{[]string{"contract", "change", "cascade", "--rate", "9"}, exitOK, "accepted"},
 		{[]string{"contract", "change", "cascade", "--rate", "10", "--revision", "1"}, exitConflict, `"requestsPerSecond": 9`},
 		{[]string{"contract", "create", "cascade", "--rate", "1"}, exitConflict, "another writer"},
 		{[]string{"contract", "change", "cascade", "--rate", "0"}, exitInvalid, "requestsPerSecond must be above 0"},
 		{[]string{"contract", "change", "nobody", "--rate", "1"}, exitNotFound, "no such contract"},
-		{[]string{"contract", "list"}, exitDone, "cascade"},
-		{[]string{"model", "add", "base"}, exitDone, "accepted"},
-		{[]string{"model", "list"}, exitDone, "base"},
-		{[]string{"adapter", "add", "quote-draft@1", "--model", "base", "--source", "store://1"}, exitDone, "accepted"},
+		{[]string{"contract", "list"}, exitOK, "cascade"},
+		{[]string{"model", "add", "base"}, exitOK, "accepted"},
+		{[]string{"model", "list"}, exitOK, "base"},
+		{[]string{"adapter", "add", "quote-draft@1", "--model", "base", "--source", "store://1"}, exitOK, "accepted"},
 		{[]string{"adapter", "add", "quote-draft@1", "--model", "base", "--source", "store://2"}, exitConflict, "immutable"},
 		{[]string{"adapter", "add", "quote-draft", "--model", "base", "--source", "s"}, exitUsage, "adapter@version"},
-		{[]string{"adapter", "list", "quote"}, exitDone, "quote-draft@1"},
-		{[]string{"adapter", "retire", "quote-draft@1"}, exitDone, "accepted"},
+		{[]string{"adapter", "list", "quote"}, exitOK, "quote-draft@1"},
+		{[]string{"adapter", "retire", "quote-draft@1"}, exitOK, "accepted"},
 		{[]string{"adapter", "retire", "quote-draft@2"}, exitNotFound, "quote-draft@2"},
-		{[]string{"service", "put", service}, exitDone, "accepted"},
-		{[]string{"service", "put", service}, exitDone, "accepted"},
-		{[]string{"service", "list"}, exitDone, "/deposits"},
-		{[]string{"service", "get", "booking-desk"}, exitDone, `"requireKey": true`},
-		{[]string{"server", "drain", "floor-1"}, exitDone, "accepted"},
-		{[]string{"server", "stop", "floor-1", "--role", "decode"}, exitDone, "accepted"},
-		{[]string{"server", "list"}, exitDone, "stopped"},
-		{[]string{"server", "advice"}, exitDone, "STOPPABLE"},
-		{[]string{"server", "start", "floor-1"}, exitDone, "accepted"},
-		{[]string{"limits"}, exitDone, "REFUSED CONCURRENCY"},
-		{[]string{"limits", "cascade"}, exitDone, "cascade"},
+		{[]string{"service", "put", service}, exitOK, "accepted"},
+		{[]string{"service", "put", service}, exitOK, "accepted"},
+		{[]string{"service", "list"}, exitOK, "/deposits"},
+		{[]string{"service", "get", "booking-desk"}, exitOK, `"requireKey": true`},
+		{[]string{"server", "drain", "floor-1"}, exitOK, "accepted"},
+		{[]string{"server", "stop", "floor-1", "--role", "decode"}, exitOK, "accepted"},
+		{[]string{"server", "list"}, exitOK, "stopped"},
+		{[]string{"server", "advice"}, exitOK, "STOPPABLE"},
+		{[]string{"server", "start", "floor-1"}, exitOK, "accepted"},
+		{[]string{"limits"}, exitOK, "REFUSED CONCURRENCY"},
+		{[]string{"limits", "cascade"}, exitOK, "cascade"},
 		{[]string{"limits", "nobody"}, exitNotFound, "no such contract"},
-		{[]string{"--wait", "--timeout", "5s", "contract", "retire", "cascade"}, exitDone, "in force in every living daemon"},
+		{[]string{"--wait", "--timeout", "5s", "contract", "retire", "cascade"}, exitOK, "in force in every living daemon"},
 		{[]string{"contract", "change", "cascade", "--rate", "3"}, exitInvalid, "retired"},
-		{[]string{"status"}, exitDone, "control-0"},
-		{[]string{"--json", "status"}, exitDone, `"confirmed": true`},
-		{[]string{"completion", "bash"}, exitDone, `"contract") words="create get list change retire"`},
+		{[]string{"status"}, exitOK, "control-0"},
+		{[]string{"--json", "status"}, exitOK, `"confirmed": true`},
+		{[]string{"completion", "bash"}, exitOK, `"contract") words="create get list change retire"`},
 		{[]string{"completion", "fish"}, exitUsage, "fish"},
-		{[]string{"--version"}, exitDone, "revision"},
+		{[]string{"--version"}, exitOK, "revision"},
 		{[]string{"contract"}, exitUsage, "create"},
 		{[]string{"contract", "alter"}, exitUsage, "alter"},
 		{[]string{"--key", "wrong", "contract", "list"}, exitUnauthorized, "operator key"},
 		{[]string{"--control", "http://127.0.0.1:1", "model", "add", "m"}, exitUnreachable, "nothing was changed"},
-		{[]string{"--control", noAnswer, "--operation", "op-1", "model", "add", "m"}, exitUnknown, "--operation op-1"},
-		{[]string{"--control", noAnswer, "model", "list"}, exitUnreachable, "nothing was changed"},
+		{[]string{"--control", abortingURL, "--operation", "op-1", "model", "add", "m"}, exitChangeUnknown, "--operation op-1"},
+		{[]string{"--control", abortingURL, "model", "list"}, exitUnreachable, "nothing was changed"},
 		{[]string{"ask", "--entry", "http://127.0.0.1:1", "--model", "a@1", "hello"}, exitNotRun, "not run"},
 	}
 	for _, step := range steps {
@@ -146,34 +148,34 @@
 func TestKeysArePrintedOnceAndStoredHashed(t *testing.T) {
 	url := startControl(t)
 	ctl(t, url, "contract", "create", "cascade", "--rate", "5", "--tokens-per-minute", "1", "--concurrency", "1", "--max-wait", "1s")
-	var made madeKey
+	var key generatedKey
 	_, out, _ := ctl(t, url, "--json", "key", "add", "cascade")
-	if err := json.NewDecoder(strings.NewReader(out)).Decode(&made); err != nil || follow.HashKey(made.Key) != made.Hash {
+	if err := json.NewDecoder(strings.NewReader(out)).Decode(&key); err != nil || follow.HashKey(key.Key) != key.Hash {
 		t.Fatalf("%v: %s", err, out)
 	}
-	_, shown, _ := ctl(t, url, "contract", "get", "cascade")
-	if strings.Contains(shown, made.Key) || !strings.Contains(shown, made.Hash) {
-		t.Errorf("the contract shows %s", shown)
+	_, contractJSON, _ := ctl(t, url, "contract", "get", "cascade")
+	if strings.Contains(contractJSON, key.Key) || !strings.Contains(contractJSON, key.Hash) {
+		t.Errorf("contract: %s", contractJSON)
 	}
-	if code, _, errOut := ctl(t, url, "key", "rotate", "cascade", "--hash", made.Hash); code != exitDone {
+	if code, _, errOut := ctl(t, url, "key", "rotate", "cascade", "--hash", key.Hash); code != exitOK {
 		t.Errorf("rotate: %d %s", code, errOut)
 	}
-	if code, _, _ := ctl(t, url, "key", "remove", "cascade", "--hash", made.Hash); code != exitNotFound {
+	if code, _, _ := ctl(t, url, "key", "remove", "cascade", "--hash", key.Hash); code != exitNotFound {
 		t.Errorf("removing a rotated key: %d", code)
 	}
 	var rotated contract.Contract
-	_, shown, _ = ctl(t, url, "contract", "get", "cascade")
-	if err := json.Unmarshal([]byte(shown), &rotated); err != nil || len(rotated.KeyHashes) != 1 {
-		t.Errorf("%v: %s", err, shown)
+	_, contractJSON, _ = ctl(t, url, "contract", "get", "cascade")
+	if err := json.Unmarshal([]byte(contractJSON), &rotated); err != nil || len(rotated.KeyHashes) != 1 {
+		t.Errorf("%v: %s", err, contractJSON)
 	}
 	if _, out, _ := ctl(t, url, "key", "make"); !strings.Contains(out, "rp_") {
 		t.Errorf("make: %s", out)
 	}
 }
 
-// An operator moves a configuration to another deployment and, unsure whether
-// all of it arrived, imports it once more.
-func TestImportingTwiceChangesNothing(t *testing.T) {
+// Guards against an import that changes objects again when an operator repeats it
+// because the result of the first import is unclear.
+func TestImportIsIdempotent(t *testing.T) {
 	source, target := startControl(t), startControl(t)
 	service := writeFile(t, serviceFile)
 	for _, line := range [][]string{
@@ -185,37 +187,38 @@
 		{"server", "drain", "floor-1"},
 		{"contract", "create", "c", "--rate", "1", "--tokens-per-minute", "1", "--concurrency", "1", "--max-wait", "1s"},
 	} {
-		if code, out, errOut := ctl(t, source, line...); code != exitDone {
+		if code, out, errOut := ctl(t, source, line...); code != exitOK {
 			t.Fatalf("%v: %d %s%s", line, code, out, errOut)
 		}
 	}
 	_, exported, _ := ctl(t, source, "config", "export")
 	file := writeFile(t, exported)
-	if code, out, errOut := ctl(t, target, "config", "import", file); code != exitDone || !strings.Contains(out, "6 written, 0 unchanged, 0 failed") {
+	if code, out, errOut := ctl(t, target, "config", "import", file); code != exitOK || !strings.Contains(out, "6 written, 0 unchanged, 0 failed") {
 		t.Errorf("first import: %d %s%s", code, out, errOut)
 	}
-	if code, out, _ := ctl(t, target, "config", "import", file); code != exitDone || !strings.Contains(out, "0 written, 6 unchanged, 0 failed") {
+	if code, out, _ := ctl(t, target, "config", "import", file); code != exitOK || !strings.Contains(out, "0 written, 6 unchanged, 0 failed") {
 		t.Errorf("second import: %d %s", code, out)
 	}
-	if _, again, _ := ctl(t, target, "config", "export"); again != exported {
-		t.Errorf("exported\n%s\nwant\n%s", again, exported)
+	if _, reexported, _ := ctl(t, target, "config", "export"); reexported != exported {
+		t.Errorf("exported\n%s\nwant\n%s", reexported, exported)
 	}
-	// Other weights under a known version are reported, not written.
-	spoiled := writeFile(t, strings.Replace(exported, `"source": "s"`, `"source": "other"`, 1))
-	if code, out, _ := ctl(t, target, "config", "import", spoiled); code != exitFailed || !strings.Contains(out, "1 failed") {
-		t.Errorf("spoiled import: %d %s", code, out)
+	// A different weight source for an existing version is reported as a failure
+	// and not written.
+	modified := writeFile(t, strings.Replace(exported, `"source": "s"`, `"source": "other"`, 1))
+	if code, out, _ := ctl(t, target, "config", "import", modified); code != exitFailed || !strings.Contains(out, "1 failed") {
+		t.Errorf("import of modified weights: %d %s", code, out)
 	}
 }
 
-func TestAskTellsTheOutcome(t *testing.T) {
+func TestAskExitCodeByOutcome(t *testing.T) {
 	cases := []struct {
 		outcome outcome.Outcome
 		status  int
 		code    exitCode
 	}{
-		{outcome.Answered, http.StatusOK, exitDone},
+		{outcome.Answered, http.StatusOK, exitOK},
 		{outcome.NotRun, http.StatusServiceUnavailable, exitNotRun},
-		{outcome.Unknown, http.StatusBadGateway, exitOutcome},
+		{outcome.Unknown, http.StatusBadGateway, exitOutcomeUnknown},
 	}
 	for _, c := range cases {
 		entry := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -231,7 +234,7 @@
 	}
 }
 
-func TestPoolsSumUpTheirServers(t *testing.T) {
+func TestPoolTotals(t *testing.T) {
 	announced := func(name string, leaving bool, running int) operator.Server {
 		return operator.Server{Name: name, Announced: &membership.Announcement{
 			Server: name, Pool: "floor", DataCentre: "a", Leaving: leaving, Slots: 4,
@@ -248,7 +251,7 @@
 	}
 }
 
-func TestStatusNamesASilentControlInstance(t *testing.T) {
+func TestStatusShowsUnresponsiveControlInstance(t *testing.T) {
 	var out bytes.Buffer
 	tool := &tool{out: &out, client: operator.NewClient(operator.Options{})}
 	tool.showStatus(operator.Status{Instances: []operator.Instance{{Address: "10.0.0.1:7201", Error: "timeout"}}})
--- a/cmd/rosemaryctl/members.go
+++ b/cmd/rosemaryctl/members.go
@@ -9,16 +9,16 @@
 )
 
 type membersCommand struct {
-	List     *membersList     `arg:"subcommand:list" help:"list the members, and how many losses are survivable now"`
-	Add      *membersAdd      `arg:"subcommand:add" help:"let a waiting instance receive the log, without counting"`
-	Promote  *membersPromote  `arg:"subcommand:promote" help:"let a learner that has caught up vote"`
+	List     *membersList     `arg:"subcommand:list" help:"list the members and the number of losses that are currently survivable"`
+	Add      *membersAdd      `arg:"subcommand:add" help:"add a waiting instance as a learner, which receives the log but does not vote"`
+	Promote  *membersPromote  `arg:"subcommand:promote" help:"promote a learner that has caught up to voter"`
 	Remove   *membersRemove   `arg:"subcommand:remove" help:"remove a member, such as one whose disk is lost"`
-	Transfer *membersTransfer `arg:"subcommand:transfer" help:"hand the leadership to a voter"`
+	Transfer *membersTransfer `arg:"subcommand:transfer" help:"transfer the leadership to a voter"`
 }
 
 type membersList struct{}
 
-// memberName names the member of a change.
+// memberName is the argument that selects the member to change.
 type memberName struct {
 	Member string `arg:"positional,required" help:"id, or the instance's name if only one member has it"`
 }
@@ -59,16 +59,17 @@
 		list.Voters, list.Quorum, list.Term, list.Commit, list.Survivable)
 }
 
-// memberRow leaves out what only a leader knows.
-func memberRow(m wire.Member, known bool) []string {
-	row := []string{string(m.ID), m.Address, string(m.Role), "", "", contact(m), ""}
-	if known && m.Role != wire.RoleWaiting {
+// memberRow returns the table row of a member. Without a leader it leaves the
+// columns empty that only a leader can fill.
+func memberRow(m wire.Member, hasLeader bool) []string {
+	row := []string{string(m.ID), m.Address, string(m.Role), "", "", lastContact(m), ""}
+	if hasLeader && m.Role != wire.RoleWaiting {
 		row[3], row[4], row[6] = fmt.Sprint(m.Match), fmt.Sprint(m.Lag), fmt.Sprint(m.CaughtUp)
 	}
 	return row
 }
 
-func contact(m wire.Member) string {
+func lastContact(m wire.Member) string {
 	if m.ContactMillis < 0 {
 		return "never"
 	}
--- a/cmd/rosemaryctl/members_test.go
+++ b/cmd/rosemaryctl/members_test.go
@@ -14,8 +14,9 @@
 	"github.com/rosemarypass/rosemarypass/internal/replica"
 )
 
-// startReplicated runs one control instance with a data folder.
-func startReplicated(t *testing.T, bootstrap bool) string {
+// startReplicatedControl runs one control instance with a data folder and returns
+// the URL of its operators' interface.
+func startReplicatedControl(t *testing.T, bootstrap bool) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,31 +42,31 @@
 		close(done)
 	}()
 	go c.Run(t.Context())
-	web := httptest.NewServer(c.OperatorHandler())
+	operatorServer := httptest.NewServer(c.OperatorHandler())
 	t.Cleanup(func() {
-		web.Close()
+		operatorServer.Close()
 		_ = listener.Close()
 		<-done
 	})
-	return web.URL
+	return operatorServer.URL
 }
 
-func TestMembersCommandsAndTheirExitCodes(t *testing.T) {
-	url := startReplicated(t, true)
-	if code, _, errOut := ctl(t, url, "model", "add", "floor-assist-base"); code != exitDone {
-		t.Fatalf("a change through the log: exit %d, %s", code, errOut)
+func TestMembersCommandsExitCodes(t *testing.T) {
+	url := startReplicatedControl(t, true)
+	if code, _, errOut := ctl(t, url, "model", "add", "floor-assist-base"); code != exitOK {
+		t.Fatalf("change through the replicated log: exit %d, %s", code, errOut)
 	}
 	steps := []struct {
 		line []string
 		code exitCode
 		want string
 	}{
-		{[]string{"members", "list"}, exitDone, "1 voters, quorum 1"},
-		{[]string{"members", "list"}, exitDone, "Further losses survivable now: 0"},
+		{[]string{"members", "list"}, exitOK, "1 voters, quorum 1"},
+		{[]string{"members", "list"}, exitOK, "Further losses survivable now: 0"},
 		{[]string{"members", "add", "control-9"}, exitInvalid, `"control-9" is not among the members`},
 		{[]string{"members", "promote", "control-0"}, exitInvalid, `"control-0" is not among the members`},
 		{[]string{"members", "remove", "control-0"}, exitInvalid, "the leader cannot be removed"},
-		{[]string{"members", "transfer", "control-0"}, exitDone, "asked to take the leadership over"},
+		{[]string{"members", "transfer", "control-0"}, exitOK, "asked to take the leadership over"},
 	}
 	for _, step := range steps {
 		code, out, errOut := ctl(t, url, step.line...)
@@ -73,8 +74,8 @@
 			t.Errorf("%v: exit %d, %s%s", step.line, code, out, errOut)
 		}
 	}
-	if _, out, _ := ctl(t, startReplicated(t, false), "members", "list"); !strings.Contains(out, "belongs to no log yet") {
-		t.Errorf("before there is a log: %s", out)
+	if _, out, _ := ctl(t, startReplicatedControl(t, false), "members", "list"); !strings.Contains(out, "belongs to no log yet") {
+		t.Errorf("without a log: %s", out)
 	}
 	if code, _, errOut := ctl(t, startControl(t), "members", "list"); code != exitNotFound {
 		t.Errorf("without a data folder: exit %d, %s", code, errOut)
--- a/cmd/rosemaryctl/output.go
+++ b/cmd/rosemaryctl/output.go
@@ -22,7 +22,7 @@
 	_ = encoder.Encode(value)
 }
 
-// table prints rows for people.
+// table prints a header, given as comma-separated columns, and rows as an aligned table.
 func (t *tool) table(header string, rows [][]string) {
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, strings.Join(strings.Split(header, ","), "\t"))
@@ -32,34 +32,35 @@
 	_ = w.Flush()
 }
 
-// show prints a value for programs, or calls people for people.
-func (t *tool) show(value any, people func()) {
+// show prints value as JSON if --json is set and calls printText otherwise.
+func (t *tool) show(value any, printText func()) {
 	if t.json {
 		writeJSON(t.out, value)
 		return
 	}
-	people()
+	printText()
 }
 
-// accepted is what a change prints.
-type accepted struct {
+// changeReport is the JSON output of an accepted change.
+type changeReport struct {
 	state.Result
 	Operation string `json:"operation"`
 }
 
-// finish reports an accepted change and waits for it when asked to.
-func (t *tool) finish(ctx context.Context, result state.Result, err error) error {
+// reportChange prints an accepted change and, with --wait, waits until it is in force.
+func (t *tool) reportChange(ctx context.Context, result state.Result, err error) error {
 	if err != nil {
 		return err
 	}
-	t.show(accepted{Result: result, Operation: t.client.Operation()}, func() {
+	t.show(changeReport{Result: result, Operation: t.client.Operation()}, func() {
 		fmt.Fprintf(t.out, "accepted at index %d, operation %s\n", result.Index, t.client.Operation())
 	})
-	return t.waitFor(ctx, result.Index)
+	return t.waitInForce(ctx, result.Index)
 }
 
-// waitFor waits until an index is in force everywhere, when asked to.
-func (t *tool) waitFor(ctx context.Context, index uint64) error {
+// waitInForce waits, if --wait is set, until the change at an index is in force in
+// every live daemon.
+func (t *tool) waitInForce(ctx context.Context, index uint64) error {
 	if !t.wait || index == 0 {
 		return nil
 	}
@@ -82,14 +83,14 @@
 		fmt.Fprintf(t.out, "waiting for %s, at index %d, %s\n", daemon.Name, daemon.ConfigIndex, daemon.Freshness.Kind)
 	}
 	for _, daemon := range report.Lost {
-		fmt.Fprintf(t.out, "lost: %s, unseen for %s; it admits nothing without a proof\n", daemon.Name, rounded(daemon.Unseen))
+		fmt.Fprintf(t.out, "lost: %s, unseen for %s; it admits nothing without a proof\n", daemon.Name, formatDuration(daemon.Unseen))
 	}
 	for _, instance := range report.Silent {
 		fmt.Fprintf(t.out, "control instance %s does not answer; daemons that follow only it are unknown\n", instance)
 	}
 }
 
-// readFile reads JSON with comments; "-" is the standard input.
+// readFile decodes a file of JSON with comments; path "-" is the standard input.
 func readFile(path string, into any) error {
 	data, err := readAll(path)
 	if err != nil {
--- a/cmd/rosemaryctl/pools.go
+++ b/cmd/rosemaryctl/pools.go
@@ -8,7 +8,7 @@
 	"github.com/rosemarypass/rosemarypass/internal/operator"
 )
 
-// pool sums up the announced servers of one pool in one data centre.
+// pool holds the totals of the announced servers of one pool in one data centre.
 type pool struct {
 	name, dataCentre string
 	serving, leaving int
@@ -17,7 +17,7 @@
 	adapters, slots  int
 	loading          int
 	loadMillis       int
-	// stallPercent and stallMillis are those of the worst server.
+	// stallPercent and stallMillis are each the maximum over the servers.
 	stallPercent int
 	stallMillis  int
 }
@@ -40,7 +40,7 @@
 	p.stallMillis = max(p.stallMillis, a.Load.StallMillis)
 }
 
-// pools sums up the announced servers, by pool and data centre.
+// pools returns the totals of the announced servers by pool and data centre.
 func pools(servers []operator.Server) []pool {
 	sums := make(map[[2]string]*pool)
 	for _, server := range servers {
@@ -63,29 +63,29 @@
 	return all
 }
 
-// showPools shows how full the batches and the adapter slots are, and how long
-// an adapter takes to arrive.
+// showPools prints for each pool how far its batches and adapter slots are used
+// and how long adapter loads take.
 func (t *tool) showPools(servers []operator.Server) {
 	var rows [][]string
 	for _, p := range pools(servers) {
 		rows = append(rows, []string{
 			p.name, p.dataCentre, fmt.Sprint(p.serving), fmt.Sprint(p.leaving), fmt.Sprint(p.running), fmt.Sprint(p.waiting),
-			useShare(p.running, p.capacity), fmt.Sprint(p.loading), useShare(p.adapters, p.slots), loadTime(p.loadMillis),
-			fmt.Sprintf("%d%%", p.stallPercent), loadTime(p.stallMillis),
+			utilization(p.running, p.capacity), fmt.Sprint(p.loading), utilization(p.adapters, p.slots), formatMillis(p.loadMillis),
+			fmt.Sprintf("%d%%", p.stallPercent), formatMillis(p.stallMillis),
 		})
 	}
 	t.table("POOL,DATA CENTRE,SERVING,LEAVING,RUNNING,WAITING,BATCH,LOADING,SLOTS USED,SLOWEST LOAD,MOST STALLED,LONGEST STALL", rows)
 }
 
-// useShare is a part of a whole in percent, empty without a whole.
-func useShare(part, whole int) string {
+// utilization formats part as a percentage of whole. It returns "" if whole is 0.
+func utilization(part, whole int) string {
 	if whole == 0 {
 		return ""
 	}
 	return fmt.Sprintf("%d%%", 100*part/whole)
 }
 
-func loadTime(millis int) string {
+func formatMillis(millis int) string {
 	if millis == 0 {
 		return ""
 	}
--- a/cmd/rosemaryctl/server.go
+++ b/cmd/rosemaryctl/server.go
@@ -12,19 +12,19 @@
 
 type serverCommand struct {
 	List  *serverList  `arg:"subcommand:list" help:"list backend servers, as announced and as wanted"`
-	Drain *serverDrain `arg:"subcommand:drain" help:"give a server no new work; what is in flight finishes"`
-	Start *serverStart `arg:"subcommand:start" help:"give a server work again"`
-	Stop  *serverStop  `arg:"subcommand:stop" help:"drain a server that is to be switched off"`
+	Drain *serverDrain `arg:"subcommand:drain" help:"send a server no new requests; those in flight finish"`
+	Start *serverStart `arg:"subcommand:start" help:"send a server requests again"`
+	Stop  *serverStop  `arg:"subcommand:stop" help:"drain a server that will be switched off"`
 
 	Advice *serverAdvice `arg:"subcommand:advice" help:"how many servers could be stopped, and why"`
 }
 
 type serverList struct{}
 
-// serverName names the server of an order.
+// serverName holds the arguments of a command that changes a server.
 type serverName struct {
 	Name string `arg:"positional,required"`
-	Role string `arg:"--role" help:"the engine's role; left out keeps it"`
+	Role string `arg:"--role" help:"role of the engine; unchanged if left out"`
 }
 
 type serverDrain struct{ serverName }
@@ -53,30 +53,30 @@
 	if a == nil {
 		return []string{server.Name, "", "", "", "", string(server.Wanted.Wanted), "absent", "", "", "", "", ""}
 	}
-	reported := "serving"
+	announced := "serving"
 	if a.Leaving {
-		reported = "leaving"
+		announced = "leaving"
 	}
 	return []string{
-		server.Name, string(a.Kind), a.Pool, a.DataCentre, a.Address, string(server.Wanted.Wanted), reported,
+		server.Name, string(a.Kind), a.Pool, a.DataCentre, a.Address, string(server.Wanted.Wanted), announced,
 		fmt.Sprint(a.Load.Running), fmt.Sprint(a.Load.Waiting), fmt.Sprint(a.Load.Capacity),
 		fmt.Sprint(len(a.Load.Resident)), fmt.Sprint(a.Slots),
 	}
 }
 
 func (c *serverDrain) run(ctx context.Context, t *tool) error {
-	return c.want(ctx, t, state.WantedDraining)
+	return c.setWanted(ctx, t, state.WantedDraining)
 }
 
 func (c *serverStart) run(ctx context.Context, t *tool) error {
-	return c.want(ctx, t, state.WantedServing)
+	return c.setWanted(ctx, t, state.WantedServing)
 }
 
 func (c *serverStop) run(ctx context.Context, t *tool) error {
-	return c.want(ctx, t, state.WantedStopped)
+	return c.setWanted(ctx, t, state.WantedStopped)
 }
 
-func (n serverName) want(ctx context.Context, t *tool, wanted state.Wanted) error {
+func (n serverName) setWanted(ctx context.Context, t *tool, wanted state.Wanted) error {
 	current, err := t.client.Server(ctx, n.Name)
 	if err != nil && !errors.Is(err, operator.ErrNotFound) {
 		return err
@@ -87,5 +87,5 @@
 		next.Role = n.Role
 	}
 	result, err := t.client.PutServer(ctx, next)
-	return t.finish(ctx, result, err)
+	return t.reportChange(ctx, result, err)
 }
--- a/cmd/rosemaryctl/status.go
+++ b/cmd/rosemaryctl/status.go
@@ -12,10 +12,10 @@
 type statusCommand struct{}
 
 type watchCommand struct {
-	Interval time.Duration `arg:"--interval" default:"1s" help:"time between two looks"`
+	Interval time.Duration `arg:"--interval" default:"1s" help:"time between two updates"`
 }
 
-// clearScreen moves the cursor home and clears what follows.
+// clearScreen moves the cursor to the top left and clears the screen.
 const clearScreen = "\x1b[H\x1b[2J"
 
 func (*statusCommand) run(ctx context.Context, t *tool) error {
@@ -63,7 +63,7 @@
 	t.showSuspects(status.Suspects)
 }
 
-// showSuspects lists the requests that are held back, when there are any.
+// showSuspects lists the suspect requests that are held back, if there are any.
 func (t *tool) showSuspects(suspects []suspicion.Record) {
 	if len(suspects) == 0 {
 		return
@@ -87,35 +87,36 @@
 			continue
 		}
 		rows = append(rows, []string{
-			instance.Address, instance.Name, quorum(instance), s.Leader, fmt.Sprint(s.Term),
-			fmt.Sprint(s.LastIndex), fmt.Sprint(s.Applied), fmt.Sprint(s.ConfigIndex), rounded(instance.ClockAhead),
+			instance.Address, instance.Name, quorumState(instance), s.Leader, fmt.Sprint(s.Term),
+			fmt.Sprint(s.LastIndex), fmt.Sprint(s.Applied), fmt.Sprint(s.ConfigIndex), formatDuration(instance.ClockAhead),
 		})
 	}
 	t.table("CONTROL,NAME,QUORUM,LEADER,TERM,LAST,APPLIED,CONFIG,CLOCK AHEAD", rows)
 }
 
-func quorum(instance operator.Instance) string {
+func quorumState(instance operator.Instance) string {
 	if instance.Standing.Confirmed {
 		return "confirmed"
 	}
 	return "not confirmed"
 }
 
-// showDaemons shows every daemon with its index, lag and proof.
+// showDaemons prints every daemon with its config index, its lag and the freshness
+// of its copy.
 func (t *tool) showDaemons(status operator.Status) {
 	rows := make([][]string, 0, len(status.Daemons))
 	for _, daemon := range status.Daemons {
 		lag := int64(status.ConfigIndex) - int64(daemon.ConfigIndex)
-		seen := "living"
+		liveness := "living"
 		if daemon.Lost {
-			seen = "lost"
+			liveness = "lost"
 		}
 		rows = append(rows, []string{
-			daemon.Name, string(daemon.Scope), seen, rounded(daemon.Unseen), fmt.Sprint(daemon.ConfigIndex), fmt.Sprint(max(lag, 0)),
+			daemon.Name, string(daemon.Scope), liveness, formatDuration(daemon.Unseen), fmt.Sprint(daemon.ConfigIndex), fmt.Sprint(max(lag, 0)),
 			string(daemon.Freshness.Kind), daemon.Freshness.Reason,
 		})
 	}
 	t.table("DAEMON,FOLLOWS,SEEN,UNSEEN,INDEX,BEHIND,COPY,REASON", rows)
 }
 
-func rounded(d time.Duration) string { return d.Round(100 * time.Millisecond).String() }
+func formatDuration(d time.Duration) string { return d.Round(100 * time.Millisecond).String() }
