--- a/docs/known_red_test.go
+++ b/docs/known_red_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// redTree is a small tree of its own, in which two tests of one package and one
-// of another fail.
-var redTree = map[string]string{
+// sampleTree is a small source tree with a workspace of two modules, in which two
+// tests of one package and one test of another fail.
+var sampleTree = map[string]string{
 	"go.mod":            "module example.test/red\n\ngo 1.26\n",
 	"go.work":           "go 1.26\n\nuse (\n\t.\n\t./coord\n)\n",
 	"a/a_test.go":       "package a\n\nimport \"testing\"\n\nfunc TestRed(t *testing.T) { t.Fail() }\n\nfunc TestGreen(*testing.T) {}\n\nfunc TestParts(t *testing.T) {\n\tt.Run(\"red\", func(t *testing.T) { t.Fail() })\n\tt.Run(\"green\", func(t *testing.T) {})\n}\n",
@@ -21,27 +21,28 @@
 	"coord/d/d_test.go": "package d\n\nimport \"testing\"\n\nfunc TestGreen(*testing.T) {}\n",
 }
 
-// A test that is known to fail is listed, so that a landing can go on. A list
-// that let anything else pass would hide the next fault: each row is a list and
-// whether the tests may pass under it.
-func TestOnlyListedTestsArePassedOver(t *testing.T) {
+// Guards against a list of known failures that hides other failures. CI passes over
+// a test that is listed in KNOWN-RED.txt, but must fail on every other failing test
+// and on a malformed or outdated entry. Each case is a list and whether CI may pass
+// with it.
+func TestOnlyListedFailuresAreTolerated(t *testing.T) {
 	script, err := os.ReadFile("../.ci/test")
 	if err != nil {
 		t.Fatal(err)
 	}
-	const because = " | go test | it fails | 1\n"
-	all := "./a TestRed" + because + "./a TestParts/red" + because + "./coord/c TestRed" + because
+	const entrySuffix = " | go test | it fails | 1\n"
+	all := "./a TestRed" + entrySuffix + "./a TestParts/red" + entrySuffix + "./coord/c TestRed" + entrySuffix
 	tests := []struct {
 		name, list string
 		pass       bool
 	}{
 		{"all red tests are listed", all, true},
-		{"one is left out", "./a TestRed" + because + "./coord/c TestRed" + because, false},
-		{"one of the same name elsewhere is left out", "./a TestRed" + because + "./a TestParts/red" + because, false},
+		{"one failing test is not listed", "./a TestRed" + entrySuffix + "./coord/c TestRed" + entrySuffix, false},
+		{"a failing test of the same name in another package is not listed", "./a TestRed" + entrySuffix + "./a TestParts/red" + entrySuffix, false},
 		{"nothing is listed", "", false},
-		{"a listed test is not there", all + "./b TestRed" + because, false},
+		{"a listed test does not exist", all + "./b TestRed" + entrySuffix, false},
 		{"a line without a reason", all + "./b TestGreen\n", false},
-		{"a line that names all tests", all + "./a .*" + because, false},
+		{"a line that matches all tests", all + "./a .*" + entrySuffix, false},
 	}
 	tree := t.TempDir()
 	write := func(name, content string) {
@@ -53,7 +54,7 @@
 			t.Fatal(err)
 		}
 	}
-	for name, content := range redTree {
+	for name, content := range sampleTree {
 		write(name, content)
 	}
 	write(".ci/test", string(script))
@@ -62,11 +63,11 @@
 			write("KNOWN-RED.txt", test.list)
 			command := exec.Command("bash", ".ci/test")
 			command.Dir = tree
-			// The tree has a workspace of its own.
+			// An empty GOWORK makes go use the workspace of the sample tree.
 			command.Env = append(os.Environ(), "GOWORK=")
 			out, err := command.CombinedOutput()
 			if (err == nil) != test.pass {
-				t.Errorf("passes: %v, want %v\n%s", err == nil, test.pass, out)
+				t.Errorf("passed: %v, want %v\n%s", err == nil, test.pass, out)
 			}
 			if test.pass && !strings.Contains(string(out), test.list) {
 				t.Errorf("the list is not printed:\n%s", out)
--- a/docs/links_test.go
+++ b/docs/links_test.go
@@ -1,4 +1,4 @@
-// Package docs_test checks the pages.
+// Package docs_test checks the documentation pages and the list of known failures.
 package docs_test
 
 import (
@@ -12,36 +12,37 @@
 
 const moduleRoot = ".."
 
-var link = regexp.MustCompile(`\]\(([^)\s]+)\)`)
+var linkPattern = regexp.MustCompile(`\]\(([^)\s]+)\)`)
 
-// heading is the anchor under which a page shows a heading.
-func heading(line string) string {
+// headingAnchor returns the link anchor of a Markdown heading.
+func headingAnchor(line string) string {
 	text := strings.ToLower(strings.TrimSpace(strings.TrimLeft(line, "#")))
 	return strings.ReplaceAll(regexp.MustCompile(`[^a-z0-9 _-]`).ReplaceAllString(text, ""), " ", "-")
 }
 
 func hasAnchor(page []byte, anchor string) bool {
 	for line := range strings.Lines(string(page)) {
-		if strings.HasPrefix(line, "#") && heading(line) == anchor {
+		if strings.HasPrefix(line, "#") && headingAnchor(line) == anchor {
 			return true
 		}
 	}
 	return false
 }
 
-// checkLink checks a link to a file of the tree, and to a heading in it.
+// checkLink checks that the target file of a relative link exists and, if the link
+// has an anchor, that the file has the heading.
 func checkLink(t *testing.T, from, to string) {
 	t.Helper()
-	file, anchor, hasHeading := strings.Cut(to, "#")
+	file, anchor, hasAnchorPart := strings.Cut(to, "#")
 	target := from
 	if file != "" {
 		target = filepath.Join(filepath.Dir(from), file)
 	}
 	if _, err := os.Stat(target); err != nil {
-		t.Errorf("%s: the link to %s leads nowhere", from, to)
+		t.Errorf("%s: broken link to %s", from, to)
 		return
 	}
-	if !hasHeading {
+	if !hasAnchorPart {
 		return
 	}
 	page, err := os.ReadFile(target)
@@ -50,16 +51,16 @@
 	}
 }
 
-// A page is renamed or a heading reworded, and pages that link to it keep the
-// old name: an operator in a hurry follows a link to nothing.
-func TestLinksBetweenPagesLeadSomewhere(t *testing.T) {
+// Guards against broken links in the documentation, which occur when a page is
+// renamed or a heading is reworded while other pages still link to the old name.
+func TestLinksBetweenPagesResolve(t *testing.T) {
 	checked := 0
 	err := filepath.WalkDir(moduleRoot, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || filepath.Ext(path) != ".md" {
 			return err
 		}
 		page, err := os.ReadFile(path)
-		for _, match := range link.FindAllStringSubmatch(string(page), -1) {
+		for _, match := range linkPattern.FindAllStringSubmatch(string(page), -1) {
 			if !strings.Contains(match[1], "://") {
 				checkLink(t, path, match[1])
 				checked++
