--- a/coord/backoff/backoff.go
+++ b/coord/backoff/backoff.go
@@ -17,11 +17,11 @@
 
 // Options configures the retries of one operation.
 type Options struct {
-	// First is the pause after the first failure, Most the maximum pause.
-	First time.Duration
-	Most  time.Duration
+	// Initial is the pause after the first failure, Max the maximum pause.
+	Initial time.Duration
+	Max     time.Duration
 	// Rate is the maximum number of retries per second of all processes that share
-	// the operation; 0 means no limit. It takes precedence over Most.
+	// the operation; 0 means no limit. It takes precedence over Max.
 	Rate float64
 }
 
@@ -29,39 +29,39 @@
 // for the given time and is shared by the given number of processes. random is a
 // random number, uniform in [0, 1).
 func (o Options) Pause(outage time.Duration, sharing int, random float64) time.Duration {
-	pause := min(max(o.First, outage/growthDivisor), o.Most)
+	pause := min(max(o.Initial, outage/growthDivisor), o.Max)
 	if o.Rate > 0 {
 		pause = max(pause, time.Duration(float64(sharing)/o.Rate*float64(time.Second)))
 	}
 	return time.Duration(float64(pause) * (1 - jitter + 2*jitter*random))
 }
 
-// Trouble tracks a run of consecutive failures. The zero value is an empty run.
-type Trouble struct{ since time.Time }
+// Outage tracks a run of consecutive failures. The zero value is an empty run.
+type Outage struct{ since time.Time }
 
 // Failed records a failure and returns the time since the first one of the run.
-func (t *Trouble) Failed(now time.Time) time.Duration {
+func (t *Outage) Failed(now time.Time) time.Duration {
 	if t.since.IsZero() {
 		t.since = now
 	}
 	return now.Sub(t.since)
 }
 
-// Lasts returns the time since the first failure of the run, 0 if there is none.
-func (t *Trouble) Lasts(now time.Time) time.Duration {
+// Elapsed returns the time since the first failure of the run, 0 if there is none.
+func (t *Outage) Elapsed(now time.Time) time.Duration {
 	if t.since.IsZero() {
 		return 0
 	}
 	return now.Sub(t.since)
 }
 
-// Over records a success, which ends the run.
-func (t *Trouble) Over() { t.since = time.Time{} }
+// Succeeded records a success, which ends the run.
+func (t *Outage) Succeeded() { t.since = time.Time{} }
 
-// Patience returns the timeout of a request when requests have failed for the given
+// Timeout returns the timeout of a request when requests have failed for the given
 // time. It grows from first to most. If all answers are late because of the load,
 // requests that time out and are repeated add to the load; the timeout must
 // eventually be long enough for an answer.
-func Patience(first, most, outage time.Duration) time.Duration {
+func Timeout(first, most, outage time.Duration) time.Duration {
 	return min(max(first, outage/2), most)
 }
--- a/coord/backoff/backoff_test.go
+++ b/coord/backoff/backoff_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestPause(t *testing.T) {
-	o := Options{First: 30 * time.Millisecond, Most: 2 * time.Second, Rate: 100}
+	o := Options{Initial: 30 * time.Millisecond, Max: 2 * time.Second, Rate: 100}
 	tests := []struct {
 		name    string
 		outage  time.Duration
@@ -19,9 +19,9 @@
 		{"first failure", 0, 1, 30 * time.Millisecond},
 		{"shortly after the first failure", 80 * time.Millisecond, 1, 30 * time.Millisecond},
 		{"an eighth of the outage", 4 * time.Second, 1, 500 * time.Millisecond},
-		{"bounded by Most", time.Hour, 1, 2 * time.Second},
+		{"bounded by Max", time.Hour, 1, 2 * time.Second},
 		{"bounded by the rate", 0, 50, 500 * time.Millisecond},
-		{"the rate takes precedence over Most", time.Hour, 900, 9 * time.Second},
+		{"the rate takes precedence over Max", time.Hour, 900, 9 * time.Second},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -33,19 +33,19 @@
 }
 
 func TestTrouble(t *testing.T) {
-	var trouble Trouble
+	var trouble Outage
 	first := time.Unix(1, 0)
 	if got := trouble.Failed(first); got != 0 {
 		t.Errorf("after the first failure the run has lasted %s, want 0", got)
 	}
-	if got := trouble.Lasts(first.Add(time.Second)); got != time.Second {
+	if got := trouble.Elapsed(first.Add(time.Second)); got != time.Second {
 		t.Errorf("the run has lasted %s, want 1s", got)
 	}
 	if got := trouble.Failed(first.Add(time.Minute)); got != time.Minute {
 		t.Errorf("the run has lasted %s, want 1m", got)
 	}
-	trouble.Over()
-	if got := trouble.Lasts(first.Add(time.Hour)); got != 0 {
+	trouble.Succeeded()
+	if got := trouble.Elapsed(first.Add(time.Hour)); got != 0 {
 		t.Errorf("after a success the run has lasted %s, want 0", got)
 	}
 	if got := trouble.Failed(first.Add(time.Hour)); got != 0 {
@@ -57,7 +57,7 @@
 // number, and pauses must not get shorter as the outage lasts.
 func TestPauseLimitsTotalRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := Options{First: 10 * time.Millisecond, Most: time.Second, Rate: float64(rapid.IntRange(10, 500).Draw(t, "rate"))}
+		o := Options{Initial: 10 * time.Millisecond, Max: time.Second, Rate: float64(rapid.IntRange(10, 500).Draw(t, "rate"))}
 		sharing := rapid.IntRange(1, 1000).Draw(t, "sharing")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		const duration = 20 * time.Second
@@ -81,7 +81,7 @@
 
 func TestPatience(t *testing.T) {
 	for outage, want := range map[time.Duration]time.Duration{0: time.Second, 3 * time.Second: 1500 * time.Millisecond, time.Minute: 5 * time.Second} {
-		if got := Patience(time.Second, 5*time.Second, outage); got != want {
+		if got := Timeout(time.Second, 5*time.Second, outage); got != want {
 			t.Errorf("after %s of failures the timeout is %s, want %s", outage, got, want)
 		}
 	}
--- a/coord/claim/claim.go
+++ b/coord/claim/claim.go
@@ -100,11 +100,11 @@
 
 // Command is an input of the table. Exactly one of the pointers is set.
 type Command struct {
-	ID     ID      `json:"id"`
-	Begin  *Begin  `json:"begin,omitempty"`
-	Finish *Finish `json:"finish,omitempty"`
-	Free   *Done   `json:"release,omitempty"`
-	Look   *Look   `json:"look,omitempty"`
+	ID      ID       `json:"id"`
+	Begin   *Begin   `json:"begin,omitempty"`
+	Finish  *Finish  `json:"finish,omitempty"`
+	Release *Release `json:"release,omitempty"`
+	Look    *Look    `json:"look,omitempty"`
 }
 
 // Begin requests the start of an attempt. A repeated Begin with the same token
@@ -120,9 +120,9 @@
 	Answer Answer `json:"answer"`
 }
 
-// Done reports that the attempt identified by the token did not run the call and
+// Release reports that the attempt identified by the token did not run the call and
 // never will.
-type Done struct {
+type Release struct {
 	Token string `json:"token"`
 }
 
@@ -150,7 +150,7 @@
 	Full Verdict = "full"
 	// Superseded means that the attempt is not the claim's current one.
 	Superseded Verdict = "superseded"
-	// Noted means that a Finish, Free or Look took effect.
+	// Noted means that a Finish, Release or Look took effect.
 	Noted Verdict = "noted"
 	// None means that there is no claim for the key.
 	None Verdict = "none"
--- a/coord/claim/claim_test.go
+++ b/coord/claim/claim_test.go
@@ -104,7 +104,7 @@
 				model.finish(key, token)
 				table.Apply(claim.Command{ID: id, Finish: &claim.Finish{Token: token, Answer: claim.Answer{Status: 200, Kept: true, Body: []byte(token)}}}, now)
 			case 3:
-				if got := table.Apply(claim.Command{ID: id, Free: &claim.Done{Token: token}}, now); got.State != claim.Expired && got.Verdict != claim.BadKey && got.Verdict != claim.TooOld {
+				if got := table.Apply(claim.Command{ID: id, Release: &claim.Release{Token: token}}, now); got.State != claim.Expired && got.Verdict != claim.BadKey && got.Verdict != claim.TooOld {
 					model.release(key, token)
 				}
 			case 4:
--- a/coord/claim/table.go
+++ b/coord/claim/table.go
@@ -100,8 +100,8 @@
 		return t.begin(command.ID, *command.Begin, now)
 	case command.Finish != nil:
 		return t.finish(command.ID, *command.Finish)
-	case command.Free != nil:
-		return t.release(command.ID, *command.Free, now)
+	case command.Release != nil:
+		return t.release(command.ID, *command.Release, now)
 	default:
 		return t.look(command.ID, now)
 	}
@@ -209,7 +209,7 @@
 	return Reply{Verdict: Noted, State: Finished, Attempt: c.Attempt}
 }
 
-func (t *Table) release(id ID, release Done, now int64) Reply {
+func (t *Table) release(id ID, release Release, now int64) Reply {
 	c, known := t.claims[id]
 	if !known {
 		return t.releaseEarly(id, release, now)
@@ -223,7 +223,7 @@
 
 // releaseEarly records the release of an attempt whose Begin has not arrived yet,
 // so that the Begin is not granted when it arrives.
-func (t *Table) releaseEarly(id ID, release Done, now int64) Reply {
+func (t *Table) releaseEarly(id ID, release Release, now int64) Reply {
 	if verdict := t.admit(id, now); verdict != Granted {
 		return Reply{Verdict: verdict}
 	}
--- a/coord/dispatch/dispatch.go
+++ b/coord/dispatch/dispatch.go
@@ -16,9 +16,9 @@
 const (
 	// Absent adapters have to be loaded from the store.
 	Absent Residence = iota
-	// Near adapters were held recently: the server reloads them from its own
+	// RecentlyHeld adapters were held recently: the server reloads them from its own
 	// memory.
-	Near
+	RecentlyHeld
 	// Stale adapters are held in an outdated version that is in use.
 	Stale
 	// Resident adapters can start at once, as can requests without an adapter.
@@ -51,16 +51,16 @@
 	FailureShare float64
 	// Connected reports whether an open connection can be reused.
 	Connected bool
-	// Barred servers failed recently and get no requests until their backoff
+	// InBackoff servers failed recently and get no requests until their backoff
 	// ends.
-	Barred bool
+	InBackoff bool
 	// Age is the age of the agent's report. It is displayed and does not enter
 	// the cost.
 	Age time.Duration
 	// Model reports whether the server holds the request's base model.
 	Model bool
-	// Cold is how much longer the server stays slow after its start.
-	Cold time.Duration
+	// WarmUp is how much longer the server stays slow after its start.
+	WarmUp time.Duration
 }
 
 // Request is a request to be placed.
@@ -149,7 +149,7 @@
 			c := &candidates[i]
 			// The second pass includes barred servers: they are better than no
 			// server.
-			if !c.Model || c.Barred && pass == 0 {
+			if !c.Model || c.InBackoff && pass == 0 {
 				continue
 			}
 			cost := Cost(c, &r, homes[c.ID]) + failureCost*max(c.FailureShare-shared, 0) + jitterCost*draw()
@@ -192,7 +192,7 @@
 // Cost estimates the cost of a choice, apart from failures. home is the
 // server's rank for the adapter, 0 when it has none.
 func Cost(c *Candidate, r *Request, home int) float64 {
-	wait := c.Delay + c.Answer + c.Cold + residenceTime(c, r)
+	wait := c.Delay + c.Answer + c.WarmUp + residenceTime(c, r)
 	cost := residenceCost(c, r, home) + pressure(c, r) + lateness(wait, r)
 	if c.DataCentre != r.DataCentre {
 		cost += remoteCost
@@ -222,7 +222,7 @@
 		return 0
 	case c.Residence == Stale:
 		return staleTime
-	case c.Residence == Near:
+	case c.Residence == RecentlyHeld:
 		return time.Duration(nearShare * float64(c.LoadTime))
 	default:
 		return c.LoadTime
@@ -235,7 +235,7 @@
 		return 0
 	case c.Residence == Stale:
 		return staleCost
-	case c.Residence == Near:
+	case c.Residence == RecentlyHeld:
 		return nearCost
 	case home > 0:
 		return min(homeCost+homeStep*float64(home-1), loadCost)
--- a/coord/dispatch/dispatch_test.go
+++ b/coord/dispatch/dispatch_test.go
@@ -31,8 +31,8 @@
 		{"outdated version in use", func(first, second *Candidate) { first.Residence, second.Residence = Stale, Absent }, 1},
 		{"server already tried", func(first, _ *Candidate) { first.ID = "tried" }, 1},
 		{"server with failures", func(first, _ *Candidate) { first.FailureShare = 0.4 }, 1},
-		{"barred server", func(first, _ *Candidate) { first.Barred = true }, 1},
-		{"barred server if there is no other", func(first, second *Candidate) { first.Barred, second.Model = true, false }, 0},
+		{"barred server", func(first, _ *Candidate) { first.InBackoff = true }, 1},
+		{"barred server if there is no other", func(first, second *Candidate) { first.InBackoff, second.Model = true, false }, 0},
 		{"full batch", func(first, _ *Candidate) { first.Running = 48 }, 1},
 		{"full memory", func(first, _ *Candidate) { first.Tokens, first.MemoryTokens = 95, 100 }, 1},
 	}
@@ -86,17 +86,17 @@
 	var h Health
 	now := time.Unix(1000, 0)
 	h.Unreachable(now)
-	if !h.Barred(now) || h.Barred(now.Add(initialBackoff)) {
+	if !h.InBackoff(now) || h.InBackoff(now.Add(initialBackoff)) {
 		t.Error("after one failure the server should be barred for the initial backoff only")
 	}
 	for range 20 {
 		h.Unreachable(now)
 	}
-	if !h.Barred(now.Add(maxBackoff-1)) || h.Barred(now.Add(maxBackoff)) {
+	if !h.InBackoff(now.Add(maxBackoff-1)) || h.InBackoff(now.Add(maxBackoff)) {
 		t.Error("after many failures the server should be barred for the maximum backoff")
 	}
 	h.Answered(time.Millisecond)
-	if h.Barred(now) {
+	if h.InBackoff(now) {
 		t.Error("the server answered and is still barred")
 	}
 }
@@ -147,12 +147,12 @@
 	home := Pick(candidates, r, noJitter)
 	away := (home + 1) % len(candidates)
 	var held Held
-	held.Take([]string{"m/a", "m/b"})
-	held.Take([]string{"m/b"})
-	if !held.Near("m/a") || held.Near("m/b") {
+	held.Update([]string{"m/a", "m/b"})
+	held.Update([]string{"m/b"})
+	if !held.Recent("m/a") || held.Recent("m/b") {
 		t.Fatalf("wrong dropped adapters: %+v", held)
 	}
-	candidates[away].Residence = Near
+	candidates[away].Residence = RecentlyHeld
 	if got := Pick(candidates, r, noJitter); got != away {
 		t.Errorf("picked %d, want %d", got, away)
 	}
@@ -165,9 +165,9 @@
 func TestDroppedAdaptersAreBounded(t *testing.T) {
 	var held Held
 	for i := range maxDropped + 5 {
-		held.Take([]string{string(rune(0x4e00 + i))})
+		held.Update([]string{string(rune(0x4e00 + i))})
 	}
-	if held.Near(string(rune(0x4e00))) || !held.Near(string(rune(0x4e00+maxDropped+3))) || len(held.dropped) != maxDropped {
+	if held.Recent(string(rune(0x4e00))) || !held.Recent(string(rune(0x4e00+maxDropped+3))) || len(held.dropped) != maxDropped {
 		t.Errorf("%d dropped adapters are remembered, or the wrong ones", len(held.dropped))
 	}
 }
--- a/coord/dispatch/usual.go
+++ b/coord/dispatch/duration.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Usual estimates how long answers take, from complete answers. The zero value
-// is ready to use.
-type Usual struct {
+// DurationEstimate estimates how long answers take, from complete answers. The
+// zero value is ready to use.
+type DurationEstimate struct {
 	mean   time.Duration
 	spread time.Duration
 }
@@ -18,7 +18,7 @@
 )
 
 // Add records how long an answer took.
-func (u *Usual) Add(took time.Duration) {
+func (u *DurationEstimate) Add(took time.Duration) {
 	if u.mean == 0 {
 		u.mean, u.spread = took, took/2
 		return
@@ -28,5 +28,5 @@
 	u.spread += time.Duration(spreadWeight * float64(diff.Abs()-u.spread))
 }
 
-// Most returns how long nearly all answers take at most; 0 while unknown.
-func (u *Usual) Most() time.Duration { return u.mean + spreadFactor*u.spread }
+// UpperBound returns how long nearly all answers take at most; 0 while unknown.
+func (u *DurationEstimate) UpperBound() time.Duration { return u.mean + spreadFactor*u.spread }
--- a/coord/dispatch/usual_test.go
+++ b/coord/dispatch/duration_test.go
@@ -12,7 +12,7 @@
 func TestMostAnswersEndWithinBound(t *testing.T) {
 	for _, mean := range []time.Duration{200 * time.Millisecond, 2 * time.Second} {
 		random := rand.New(rand.NewPCG(1, 2))
-		var u Usual
+		var u DurationEstimate
 		draw := func() time.Duration { return time.Duration((0.4 + 1.2*random.Float64()) * float64(mean)) }
 		for range 200 {
 			u.Add(draw())
@@ -20,16 +20,16 @@
 		within := 0
 		const answers = 1000
 		for range answers {
-			if draw() <= u.Most() {
+			if draw() <= u.UpperBound() {
 				within++
 			}
 		}
-		if within < answers*97/100 || u.Most() > 3*mean {
-			t.Errorf("mean %v: %d of %d answers end within the bound of %v", mean, within, answers, u.Most())
+		if within < answers*97/100 || u.UpperBound() > 3*mean {
+			t.Errorf("mean %v: %d of %d answers end within the bound of %v", mean, within, answers, u.UpperBound())
 		}
 	}
-	var none Usual
-	if none.Most() != 0 {
-		t.Errorf("the bound without any answer is %v, want 0", none.Most())
+	var none DurationEstimate
+	if none.UpperBound() != 0 {
+		t.Errorf("the bound without any answer is %v, want 0", none.UpperBound())
 	}
 }
--- a/coord/dispatch/health.go
+++ b/coord/dispatch/health.go
@@ -54,8 +54,8 @@
 	h.streak++
 }
 
-// Barred reports whether the server is in backoff.
-func (h *Health) Barred(now time.Time) bool { return h.streak > 0 && now.Before(h.until) }
+// InBackoff reports whether the server is in backoff.
+func (h *Health) InBackoff(now time.Time) bool { return h.streak > 0 && now.Before(h.until) }
 
 // FailureShare returns the share of failed answers, which fades while no
 // requests are sent.
--- a/coord/dispatch/held.go
+++ b/coord/dispatch/held.go
@@ -16,8 +16,8 @@
 // memory for them is bounded too; it does not report how many fit.
 const maxDropped = 96
 
-// Take updates the adapters that the server holds now.
-func (h *Held) Take(names []string) {
+// Update sets the adapters that the server holds now.
+func (h *Held) Update(names []string) {
 	for _, name := range h.now {
 		if !slices.Contains(names, name) {
 			h.dropped = append(slices.DeleteFunc(h.dropped, func(d string) bool { return d == name }), name)
@@ -29,6 +29,6 @@
 	h.now = names
 }
 
-// Near reports whether the server has dropped the adapter and most likely still
+// Recent reports whether the server has dropped the adapter and most likely still
 // keeps it in memory.
-func (h *Held) Near(name string) bool { return slices.Contains(h.dropped, name) }
+func (h *Held) Recent(name string) bool { return slices.Contains(h.dropped, name) }
--- a/coord/document/document.go
+++ b/coord/document/document.go
@@ -15,8 +15,8 @@
 
 // Command is a change. Exactly one field is set.
 type Command struct {
-	Put  *Put  `json:"put,omitempty"`
-	Name *Name `json:"name,omitempty"`
+	Put            *Put            `json:"put,omitempty"`
+	AdapterVersion *AdapterVersion `json:"name,omitempty"`
 }
 
 // Put proposes a complete configuration document.
@@ -27,8 +27,8 @@
 	Body json.RawMessage `json:"body"`
 }
 
-// Name reports a version of an adapter.
-type Name struct {
+// AdapterVersion reports a version of an adapter.
+type AdapterVersion struct {
 	Adapter string `json:"adapter"`
 	Version int64  `json:"version"`
 }
@@ -66,7 +66,7 @@
 		return false, errors.Wrap(err, "a committed command cannot be read")
 	}
 	changed := m.put(command.Put)
-	changed = m.name(command.Name) || changed
+	changed = m.name(command.AdapterVersion) || changed
 	if changed {
 		m.state.Index = index
 	}
@@ -81,7 +81,7 @@
 	return true
 }
 
-func (m *Machine) name(n *Name) bool {
+func (m *Machine) name(n *AdapterVersion) bool {
 	if n == nil || n.Version <= m.state.Adapters[n.Adapter] {
 		return false
 	}
--- a/coord/document/document_test.go
+++ b/coord/document/document_test.go
@@ -14,7 +14,7 @@
 }
 
 func name(adapter string, version int64) []byte {
-	data, _ := json.Marshal(Command{Name: &Name{Adapter: adapter, Version: version}})
+	data, _ := json.Marshal(Command{AdapterVersion: &AdapterVersion{Adapter: adapter, Version: version}})
 	return data
 }
 
--- a/coord/experiment/policy.go
+++ b/coord/experiment/policy.go
@@ -55,7 +55,7 @@
 			picker := placement.NewCustomPicker(filters, []placement.Scorer{leastLoaded})
 			return placement.NewSelector(picker, placement.SelectorOptions{Salt: entry})
 		},
-		Slots:   slots.Options{Eviction: slots.EvictLeastRecent, Patience: time.Hour},
+		Slots:   slots.Options{Eviction: slots.EvictLeastRecent, StarvationTimeout: time.Hour},
 		Patient: true,
 		Permits: func() Permits { return unlimited{} },
 	}
--- a/coord/fairqueue/fairqueue.go
+++ b/coord/fairqueue/fairqueue.go
@@ -137,9 +137,9 @@
 // Len returns the number of waiting requests.
 func (q *Queue) Len() int { return len(q.entries) }
 
-// Observe sets the service rate in cost per second, which is used to detect waits that
+// SetRate sets the service rate in cost per second, which is used to detect waits that
 // cannot end in time. 0 means unknown.
-func (q *Queue) Observe(rate float64) { q.rate = rate }
+func (q *Queue) SetRate(rate float64) { q.rate = rate }
 
 // Push adds a request. If a request is refused, Push returns its refusal: that of the
 // new request, or of another contract's latest request, which was removed to make
--- a/coord/fairqueue/fairqueue_test.go
+++ b/coord/fairqueue/fairqueue_test.go
@@ -224,7 +224,7 @@
 
 func TestWaitsAreBounded(t *testing.T) {
 	q := New(Options{Limit: 100})
-	q.Observe(10)
+	q.SetRate(10)
 	for id := range ID(5) {
 		if _, refused := q.Push(Item{ID: id, Contract: "a", Share: 1, Cost: 10, Deadline: begin.Add(4500 * time.Millisecond)}, begin); refused {
 			t.Fatalf("request %d was refused", id)
--- a/coord/founding/founding.go
+++ b/coord/founding/founding.go
@@ -44,8 +44,8 @@
 	Bootstrap bool
 	// Up is the time since the process opened its disk.
 	Up time.Duration
-	// SeedsSilent is the number of seeds that have not answered yet.
-	SeedsSilent int
+	// UnansweredSeeds is the number of seeds that have not answered yet.
+	UnansweredSeeds int
 	// Known are all processes learned from answers to greetings and from the
 	// seeds' lists.
 	Known []Process
@@ -54,7 +54,7 @@
 // Decide reports whether the process founds the log, and returns the founders:
 // the process itself and others with a disk, spread evenly over all data centres.
 func Decide(v View) (founders []Process, found bool) {
-	if !v.Bootstrap || !v.Self.Disk || v.Self.Cluster != "" || v.Up < Settle || v.SeedsSilent > 0 {
+	if !v.Bootstrap || !v.Self.Disk || v.Self.Cluster != "" || v.Up < Settle || v.UnansweredSeeds > 0 {
 		return nil, false
 	}
 	var others []Process
--- a/coord/founding/founding_test.go
+++ b/coord/founding/founding_test.go
@@ -44,7 +44,7 @@
 		{"a later start", func(v *View) { v.Bootstrap = false }},
 		{"no disk", func(v *View) { v.Self.Disk = false }},
 		{"just started", func(v *View) { v.Up = Settle - 1 }},
-		{"a seed is silent", func(v *View) { v.SeedsSilent = 1 }},
+		{"a seed is silent", func(v *View) { v.UnansweredSeeds = 1 }},
 		{"another process belongs to a log", func(v *View) { v.Known = []Process{member} }},
 		{"the process itself belongs to a log", func(v *View) { v.Self.Cluster = "c" }},
 		{"a lower address has a disk", func(v *View) { v.Known = []Process{process("10.0.0.1:1", true)} }},
@@ -85,7 +85,7 @@
 }
 
 func TestFullLogOnlyReplacesMembers(t *testing.T) {
-	m := Membership{Self: "0", Cluster: "c", Losses: 1}
+	m := Membership{Self: "0", Cluster: "c", ToleratedLosses: 1}
 	for i := range MaxMembers {
 		id := fmt.Sprint(i)
 		m.Members = append(m.Members, voter(id, "a"+id))
@@ -115,7 +115,7 @@
 
 func healthy() Membership {
 	return Membership{
-		Self: "1", Cluster: "c", Losses: 1,
+		Self: "1", Cluster: "c", ToleratedLosses: 1,
 		Members: []Member{voter("1", "a"), voter("2", "b"), voter("3", "d"), voter("4", "e")},
 		Known:   []Seen{seen("2", "b", "c", 0), seen("3", "d", "c", 0), seen("4", "e", "c", 0)},
 	}
--- a/coord/founding/members.go
+++ b/coord/founding/members.go
@@ -21,11 +21,11 @@
 	// Self is the leader's own member ID.
 	Self    string
 	Cluster string
-	// Losses is the number of machines with a disk that may be lost at the same
-	// time.
-	Losses  int
-	Members []Member
-	Known   []Seen
+	// ToleratedLosses is the number of machines with a disk that may be lost at the
+	// same time.
+	ToleratedLosses int
+	Members         []Member
+	Known           []Seen
 }
 
 // ChangeKind is the kind of a membership change.
@@ -142,7 +142,8 @@
 }
 
 // removeLost removes a member that has been silent for longer than lostAfter. It
-// does so only if enough voters are running to tolerate the deployment's Losses.
+// does so only if enough voters are running to tolerate the deployment's
+// ToleratedLosses.
 func (v *Membership) removeLost() Change {
 	running := 0
 	for _, m := range v.Members {
@@ -150,7 +151,7 @@
 			running++
 		}
 	}
-	if running < 2*v.Losses+1 {
+	if running < 2*v.ToleratedLosses+1 {
 		return Change{}
 	}
 	for _, m := range v.Members {
--- a/coord/modelplan/modelplan.go
+++ b/coord/modelplan/modelplan.go
@@ -14,8 +14,8 @@
 	Demand float64
 	// Holders is the number of engines that hold or load the model.
 	Holders int
-	// Near reports whether the engine has a copy on its own disk.
-	Near bool
+	// OnDisk reports whether the engine has a copy on its own disk.
+	OnDisk bool
 }
 
 const (
@@ -39,7 +39,7 @@
 	next, highest := "", 0.0
 	for _, m := range models {
 		score := (m.Demand + baseDemand) / max(float64(m.Holders), minHolders)
-		if m.Near {
+		if m.OnDisk {
 			score *= diskFactor
 		}
 		if next == "" || score > highest {
@@ -60,8 +60,8 @@
 	decayedAt time.Time
 }
 
-// Note records a request.
-func (d *Demand) Note(model string, now time.Time) {
+// Record records a request.
+func (d *Demand) Record(model string, now time.Time) {
 	d.decay(now)
 	if d.counts == nil {
 		d.counts = make(map[string]float64)
--- a/coord/modelplan/modelplan_test.go
+++ b/coord/modelplan/modelplan_test.go
@@ -21,8 +21,8 @@
 		{"a rarely used model has no engine", []Model{{Name: "a", Demand: 0.9, Holders: 14}, {Name: "b", Demand: 0.1}}, "b"},
 		{"a far busier model has one engine", []Model{{Name: "a", Demand: 0.99, Holders: 1}, {Name: "b", Demand: 0.01}}, "a"},
 		{"by share", []Model{{Name: "a", Demand: 0.7, Holders: 7}, {Name: "b", Demand: 0.3, Holders: 2}}, "b"},
-		{"one has a copy on disk", []Model{{Name: "a", Demand: 0.7, Holders: 7, Near: true}, {Name: "b", Demand: 0.3, Holders: 2}}, "a"},
-		{"one has a copy on disk and the other has no holders", []Model{{Name: "a", Demand: 0.7, Holders: 7, Near: true}, {Name: "b", Demand: 0.3}}, "b"},
+		{"one has a copy on disk", []Model{{Name: "a", Demand: 0.7, Holders: 7, OnDisk: true}, {Name: "b", Demand: 0.3, Holders: 2}}, "a"},
+		{"one has a copy on disk and the other has no holders", []Model{{Name: "a", Demand: 0.7, Holders: 7, OnDisk: true}, {Name: "b", Demand: 0.3}}, "b"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -72,18 +72,18 @@
 		t.Errorf("without requests the shares are %v and %v, want all for the first", first, second)
 	}
 	for range 30 {
-		d.Note("a", now)
+		d.Record("a", now)
 	}
 	for range 10 {
-		d.Note("b", now)
-		d.Note("other", now)
+		d.Record("b", now)
+		d.Record("other", now)
 	}
 	if got := d.Share("a", names, now); got != 0.75 {
 		t.Errorf("the share is %v, want 0.75 of the two models", got)
 	}
 	later := now.Add(4 * demandHalfLife)
 	for range 20 {
-		d.Note("b", later)
+		d.Record("b", later)
 	}
 	if got := d.Share("b", names, later); got < 0.85 {
 		t.Errorf("the share is %v, want that of the recent requests", got)
--- a/coord/overlay/overlay.go
+++ b/coord/overlay/overlay.go
@@ -31,10 +31,10 @@
 }
 
 const (
-	// MostHubs is the maximum number of hubs, unless the log has more members, and
+	// MaxHubs is the maximum number of hubs, unless the log has more members, and
 	// the number of processes up to which every process greets every other. With
 	// 370 processes and two hubs each, a hub serves about 45 other processes.
-	MostHubs = 16
+	MaxHubs = 16
 	// hubsPerProcess is the number of hubs that every other process greets, so that
 	// one of them may be lost.
 	hubsPerProcess = 2
@@ -57,7 +57,7 @@
 			}
 		}
 		for _, n := range Spread(ranked, func(n Node) (string, string) { return n.DataCentre, n.Address }) {
-			if n.Member || len(hubs) < MostHubs {
+			if n.Member || len(hubs) < MaxHubs {
 				hubs = append(hubs, n)
 			}
 		}
--- a/coord/overlay/overlay_test.go
+++ b/coord/overlay/overlay_test.go
@@ -21,10 +21,10 @@
 }
 
 func TestSmallDeploymentIsFullMesh(t *testing.T) {
-	all := nodes(MostHubs, 4)
+	all := nodes(MaxHubs, 4)
 	for _, self := range all {
-		if greeted, hub := Greet(self, without(all, self.Address)); len(greeted) != MostHubs-1 || !hub {
-			t.Errorf("%s greets %d of %d others", self.Address, len(greeted), MostHubs-1)
+		if greeted, hub := Greet(self, without(all, self.Address)); len(greeted) != MaxHubs-1 || !hub {
+			t.Errorf("%s greets %d of %d others", self.Address, len(greeted), MaxHubs-1)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 	for _, self := range all {
 		greeted, hub := Greet(self, without(all, self.Address))
 		if want := hubsPerProcess; self.Disk {
-			want = MostHubs - 1
+			want = MaxHubs - 1
 			if len(greeted) != want || !hub {
 				t.Errorf("member %s greets %d, want all %d other hubs", self.Address, len(greeted), want)
 			}
@@ -49,10 +49,10 @@
 			greetedBy[address]++
 		}
 	}
-	if len(greetedBy) != MostHubs {
-		t.Fatalf("%d processes are greeted, want %d hubs", len(greetedBy), MostHubs)
+	if len(greetedBy) != MaxHubs {
+		t.Fatalf("%d processes are greeted, want %d hubs", len(greetedBy), MaxHubs)
 	}
-	const fairShare = hubsPerProcess*size/MostHubs + MostHubs
+	const fairShare = hubsPerProcess*size/MaxHubs + MaxHubs
 	for address, n := range greetedBy {
 		if n > 2*fairShare {
 			t.Errorf("hub %s is greeted by %d, a fair share is %d", address, n, fairShare)
--- a/coord/quota/holder.go
+++ b/coord/quota/holder.go
@@ -53,14 +53,15 @@
 type Cause int
 
 const (
-	// CauseWaited means that the request has waited for the contract's maximum
+	// CauseMaxWait means that the request has waited for the contract's maximum
 	// wait.
-	CauseWaited Cause = iota
-	// CauseCertain means that the wait would certainly exceed the contract's
+	CauseMaxWait Cause = iota
+	// CauseMaxWaitCertain means that the wait would certainly exceed the contract's
 	// maximum wait.
-	CauseCertain
-	// CauseNever means that the request needs more than the whole contract allows.
-	CauseNever
+	CauseMaxWaitCertain
+	// CauseExceedsContract means that the request needs more than the whole
+	// contract allows.
+	CauseExceedsContract
 	// CauseNoLease means that no owner has been reached for the time of a
 	// lease. The contract's own limit may not have been reached.
 	CauseNoLease
@@ -161,12 +162,12 @@
 	limits := a.agreed.Limits
 	if c[tokenBucket] > capacity(tokenBucket, limits) {
 		a.refused[tokenClause]++
-		return Refuse{ID: r.ID, Clause: clauseNames[tokenClause], Cause: CauseNever, RetryAfter: time.Minute}, true
+		return Refuse{ID: r.ID, Clause: clauseNames[tokenClause], Cause: CauseExceedsContract, RetryAfter: time.Minute}, true
 	}
 	wait, clause := a.predict(c)
 	if excess := wait - limits.MaxWait; excess > 0 {
 		a.refused[clause]++
-		return Refuse{ID: r.ID, Clause: clauseNames[clause], Cause: h.refusalCause(now, CauseCertain), RetryAfter: excess}, true
+		return Refuse{ID: r.ID, Clause: clauseNames[clause], Cause: h.refusalCause(now, CauseMaxWaitCertain), RetryAfter: excess}, true
 	}
 	if len(a.queue) >= h.options.QueueLimit {
 		a.refused[clause]++
@@ -209,9 +210,9 @@
 	return h.drain(now, a, nil)
 }
 
-// Follow applies a changed contract if it is in use here. If the contract is
+// UpdateContract applies a changed contract if it is in use here. If the contract is
 // retired, queued requests are refused and requests in flight continue.
-func (h *Holder) Follow(now time.Time, agreed contract.Contract) []Action {
+func (h *Holder) UpdateContract(now time.Time, agreed contract.Contract) []Action {
 	h.expire(now)
 	a, ok := h.accounts[agreed.ID]
 	if !ok || agreed.Revision <= a.agreed.Revision {
@@ -270,7 +271,7 @@
 
 func (h *Holder) refuseWaited(now time.Time, a *account, w *queuedRequest, clause int) Refuse {
 	a.refused[clause]++
-	return Refuse{ID: w.id, Clause: clauseNames[clause], Cause: h.refusalCause(now, CauseWaited), RetryAfter: a.retryAfter(clause)}
+	return Refuse{ID: w.id, Clause: clauseNames[clause], Cause: h.refusalCause(now, CauseMaxWait), RetryAfter: a.retryAfter(clause)}
 }
 
 // refusalCause returns cause, or CauseNoLease if no owner has answered for the time
@@ -441,8 +442,8 @@
 	return actions
 }
 
-// Lost reports that the renewal in flight got no reply.
-func (h *Holder) Lost() {
+// RenewalFailed reports that the renewal in flight got no reply.
+func (h *Holder) RenewalFailed() {
 	h.pending = 0
 	h.markUnsent()
 }
--- a/coord/quota/property_test.go
+++ b/coord/quota/property_test.go
@@ -143,7 +143,7 @@
 			w.messages = slices.Delete(w.messages, at, at+1)
 		}
 	case "lost":
-		h.Lost()
+		h.RenewalFailed()
 	case "restart":
 		w.holders[i] = NewHolder(testOptions(), h.name, h.incarnation+1)
 		clear(w.running[i])
@@ -212,7 +212,7 @@
 		w.ownerRevision = newest
 	} else {
 		w.holderRevisions[i] = newest
-		w.act(i, w.holders[i].Follow(w.now, w.revisions[newest].agreed))
+		w.act(i, w.holders[i].UpdateContract(w.now, w.revisions[newest].agreed))
 	}
 	oldest := min(w.ownerRevision, slices.Min(w.holderRevisions))
 	for _, r := range w.revisions[:oldest] {
--- a/coord/quota/sim_test.go
+++ b/coord/quota/sim_test.go
@@ -217,7 +217,7 @@
 	s.measureMessage(renewal, new(Renewal), &s.entryTime, &s.codecTime)
 	s.after(simLatency, func() {
 		if s.down {
-			h.Lost()
+			h.RenewalFailed()
 			return
 		}
 		begin := time.Now()
--- a/coord/replog/example_test.go
+++ b/coord/replog/example_test.go
@@ -10,7 +10,7 @@
 // The first member of a log is its only voter: it elects itself, and its proposals
 // are committed as soon as they are synced to its own disk.
 func Example() {
-	founding := replog.Founding(replog.Config{
+	founding := replog.InitialSnapshot(replog.Config{
 		Cluster: "example",
 		Voters:  []replog.Member{{ID: "alpha", Address: "alpha:7400"}},
 	}, nil)
--- a/coord/replog/node.go
+++ b/coord/replog/node.go
@@ -83,8 +83,8 @@
 	return n
 }
 
-// Founding returns the snapshot with which the first member creates a log.
-func Founding(config Config, data []byte) Snapshot {
+// InitialSnapshot returns the snapshot with which the first member creates a log.
+func InitialSnapshot(config Config, data []byte) Snapshot {
 	return Snapshot{Index: 1, Term: 1, Config: config, Data: data}
 }
 
@@ -263,7 +263,7 @@
 	}
 	n.deliver()
 	r := n.ready
-	if n.options.KeepCommit && n.delivered > n.hardCommit {
+	if n.options.PersistCommit && n.delivered > n.hardCommit {
 		n.hardCommit, n.hardStateDirty = n.delivered, true
 	}
 	if n.hardStateDirty {
--- a/coord/replog/replication.go
+++ b/coord/replog/replication.go
@@ -163,7 +163,7 @@
 	n.commit = index
 	n.uncommittedBytes = n.log.bytesAfter(index)
 	n.appendsPending = true
-	if n.options.TellCommit {
+	if n.options.BroadcastCommit {
 		n.sendHeartbeats()
 	}
 	n.afterCommit()
--- a/coord/replog/schedule_test.go
+++ b/coord/replog/schedule_test.go
@@ -43,10 +43,11 @@
 // run runs a schedule and returns the first violated rule, empty if there is none.
 func run(seed uint64, f ioFaults) string { return runKeep(seed, false, f) }
 
-// runKeep is like run with the given Options.KeepCommit.
+// runKeep is like run with the given Options.PersistCommit.
 func runKeep(seed uint64, keep bool, f ioFaults) string { return runOptions(seed, keep, false, f) }
 
-// runOptions is like run with the given Options.KeepCommit and Options.TellCommit.
+// runOptions is like run with the given Options.PersistCommit and
+// Options.BroadcastCommit.
 func runOptions(seed uint64, keepCommit, tellCommit bool, f ioFaults) string {
 	voters := []int{3, 3, 3, 5, 1}[seed%5]
 	maxAppendBytes := []int{1, 100, 1000}[seed%3]
@@ -277,7 +278,7 @@
 			for seed := shard; seed < schedules; seed += shards {
 				for _, tellCommit := range []bool{false, true} {
 					if failure := runOptions(seed, true, tellCommit, ioFaults{}); failure != "" {
-						t.Fatalf("seed %d, TellCommit %v: %s", seed, tellCommit, failure)
+						t.Fatalf("seed %d, BroadcastCommit %v: %s", seed, tellCommit, failure)
 					}
 				}
 			}
--- a/coord/replog/simulation_test.go
+++ b/coord/replog/simulation_test.go
@@ -84,11 +84,11 @@
 	network   []delivery
 	cutLinks  map[[2]ID]bool
 	lossRate  float64
-	// maxAppendBytes and keepCommit are the options MaxAppendBytes and KeepCommit
+	// maxAppendBytes and keepCommit are the options MaxAppendBytes and PersistCommit
 	// of every member.
 	maxAppendBytes int
 	keepCommit     bool
-	// tellCommit is the option TellCommit of every member.
+	// tellCommit is the option BroadcastCommit of every member.
 	tellCommit bool
 	nextValue  uint64
 	nextRead   uint64
@@ -112,7 +112,7 @@
 	for _, m := range config.Voters {
 		s.add(m.ID)
 	}
-	founding := Founding(config, nil)
+	founding := InitialSnapshot(config, nil)
 	founder := s.processes[0]
 	founder.disk = disk{hard: HardState{Term: 1}, snapshot: &founding}
 	founder.start()
@@ -137,7 +137,7 @@
 	p.up, p.queue, p.proposed, p.reads = true, nil, nil, make(map[uint64]*operation)
 	p.value, p.applied = 0, 0
 	p.node = New(Options{
-		ID: p.id, MaxAppendBytes: p.sim.maxAppendBytes, MaxInflight: 2, TrailingEntries: 5, KeepCommit: p.sim.keepCommit, TellCommit: p.sim.tellCommit,
+		ID: p.id, MaxAppendBytes: p.sim.maxAppendBytes, MaxInflight: 2, TrailingEntries: 5, PersistCommit: p.sim.keepCommit, BroadcastCommit: p.sim.tellCommit,
 		Random: rand.New(rand.NewPCG(p.sim.random.Uint64(), 2)), faults: p.sim.faults.core,
 	}, Restored{HardState: p.disk.hard, Snapshot: p.disk.snapshot, Entries: p.disk.entries})
 	if p.disk.snapshot != nil {
--- a/coord/replog/types.go
+++ b/coord/replog/types.go
@@ -45,7 +45,7 @@
 	Term uint64 `json:"term"`
 	Vote ID     `json:"vote,omitempty"`
 	// Commit is the index of the last entry known to be committed and synced
-	// locally; 0 if Options.KeepCommit is not set.
+	// locally; 0 if Options.PersistCommit is not set.
 	Commit uint64 `json:"commit,omitempty"`
 }
 
@@ -198,15 +198,15 @@
 	// TrailingEntries is the number of entries before a snapshot that stay in
 	// memory for lagging members.
 	TrailingEntries int
-	// KeepCommit adds the index of the last delivered entry to the hard state of
+	// PersistCommit adds the index of the last delivered entry to the hard state of
 	// each Ready with committed entries. A caller that applies entries only once
 	// that Ready is synced resumes after a restart, without a leader, with all
 	// entries that it had applied.
-	KeepCommit bool
-	// TellCommit makes the leader announce each commit immediately instead of with
-	// its next heartbeat: a member that loses power before it learns of a commit
-	// restarts without it.
-	TellCommit bool
+	PersistCommit bool
+	// BroadcastCommit makes the leader announce each commit immediately instead of
+	// with its next heartbeat: a member that loses power before it learns of a
+	// commit restarts without it.
+	BroadcastCommit bool
 	// Random is the random source for election timeouts.
 	Random *rand.Rand
 
--- a/coord/residency/overload_test.go
+++ b/coord/residency/overload_test.go
@@ -23,7 +23,7 @@
 	o := options()
 	o.Batch, o.MemoryTokens, o.Queue = w.batch, 1_000_000, 1000
 	table := New(o)
-	table.Take(heldReport(start, "m/a"), start)
+	table.Apply(heldReport(start, "m/a"), start)
 	const step = 5 * time.Millisecond
 	arrived, ends := make(map[string]time.Time), make(map[string]time.Time)
 	var got outcome
@@ -56,7 +56,7 @@
 		if n < w.bursts && !now.Before(start.Add(time.Duration(n)*w.interval)) {
 			for i := range w.size {
 				r := request(fmt.Sprintf("%d-%d", n, i), "m/a")
-				r.Target, r.Latest = now.Add(w.target), now.Add(w.maxWait)
+				r.Target, r.StartDeadline = now.Add(w.target), now.Add(w.maxWait)
 				arrived[r.ID] = now
 				take(table.Admit(r, now), now)
 			}
--- a/coord/residency/pace.go
+++ b/coord/residency/pace.go
@@ -176,9 +176,9 @@
 	return t.pacer.nextStart()
 }
 
-// Begun records that a started request has produced its first event, which
+// FirstEvent records that a started request has produced its first event, which
 // means that its prompt is read.
-func (t *Table) Begun(id string, now time.Time) {
+func (t *Table) FirstEvent(id string, now time.Time) {
 	s, ok := t.started[id]
 	if !ok || s.begun {
 		return
--- a/coord/residency/pauses.go
+++ b/coord/residency/pauses.go
@@ -46,6 +46,6 @@
 // large backlog.
 func (p *pauses) maxShare() float64 { return maxReadShare - p.reduction }
 
-// Paused records the longest pause in a stream that has ended, and the pause
+// RecordPause records the longest pause in a stream that has ended, and the pause
 // that its route allows.
-func (t *Table) Paused(longest, allowed time.Duration) { t.pauses.observe(longest, allowed) }
+func (t *Table) RecordPause(longest, allowed time.Duration) { t.pauses.observe(longest, allowed) }
--- a/coord/residency/pauses_test.go
+++ b/coord/residency/pauses_test.go
@@ -34,7 +34,7 @@
 						halted++
 					}
 				}
-				table.Paused(longest, allowed)
+				table.RecordPause(longest, allowed)
 			}
 			if got := table.pauses.maxShare(); got < test.from || got > test.to {
 				t.Errorf("prompts may take %.2f of the rate, want %.2f to %.2f", got, test.from, test.to)
@@ -46,7 +46,7 @@
 	}
 	table := New(options())
 	before := table.pauses
-	if table.Paused(time.Hour, 0); table.pauses != before {
+	if table.RecordPause(time.Hour, 0); table.pauses != before {
 		t.Error("a stream of a route without a pause limit changed the share")
 	}
 }
--- a/coord/residency/plan.go
+++ b/coord/residency/plan.go
@@ -14,7 +14,7 @@
 	t.sortWaiting(now)
 	kept := t.waiting[:0]
 	for _, r := range t.waiting {
-		if now.After(r.Latest) {
+		if now.After(r.StartDeadline) {
 			actions = append(actions, Refuse{ID: r.ID, Reason: ReasonLate})
 			continue
 		}
@@ -146,7 +146,7 @@
 	if !t.mayOrder(now) {
 		return nil
 	}
-	if t.occupied() < t.options.Places {
+	if t.occupied() < t.options.MaxAdapters {
 		t.adapters[name] = &adapterState{version: absent, loading: true, since: now, usedAt: now}
 		return []Action{Load{Adapter: name, Version: t.newest[name].version}}
 	}
@@ -165,7 +165,7 @@
 	}
 	// An adapter that is gone but still tracked for the requests that started on
 	// it needs free capacity at the engine like any other load.
-	if a.version == absent && t.occupied() >= t.options.Places {
+	if a.version == absent && t.occupied() >= t.options.MaxAdapters {
 		return t.evict(wanted, now)
 	}
 	a.loading, a.since = true, now
--- a/coord/residency/report.go
+++ b/coord/residency/report.go
@@ -6,14 +6,14 @@
 type Report struct {
 	// Held maps the adapters that the engine holds to their versions.
 	Held map[string]int64
-	// Coming maps the adapters that the engine is loading to their versions.
-	Coming map[string]int64
-	// Runs holds the IDs of the running requests.
-	Runs map[string]bool
+	// Loading maps the adapters that the engine is loading to their versions.
+	Loading map[string]int64
+	// Running holds the IDs of the running requests.
+	Running map[string]bool
 	// Waiting is the number of requests queued at the engine.
 	Waiting int
-	// Asked is when the report was requested; later orders may not show in it.
-	Asked time.Time
+	// RequestedAt is when the report was requested; later orders may not show in it.
+	RequestedAt time.Time
 }
 
 const (
@@ -26,20 +26,20 @@
 	missingReports = 3
 )
 
-// Take reconciles the table with the engine's report.
-func (t *Table) Take(r Report, now time.Time) []Action {
+// Apply reconciles the table with the engine's report.
+func (t *Table) Apply(r Report, now time.Time) []Action {
 	for name, version := range r.Held {
-		if t.adapters[name] == nil && !r.Asked.After(t.unloaded[name]) {
+		if t.adapters[name] == nil && !r.RequestedAt.After(t.unloaded[name]) {
 			continue
 		}
-		t.applyHeld(name, version, r.Coming, now)
+		t.applyHeld(name, version, r.Loading, now)
 	}
 	for name, at := range t.unloaded {
-		if r.Asked.After(at) {
+		if r.RequestedAt.After(at) {
 			delete(t.unloaded, name)
 		}
 	}
-	for name := range r.Coming {
+	for name := range r.Loading {
 		if t.adapters[name] == nil {
 			t.adapters[name] = &adapterState{version: absent, loading: true, since: now, usedAt: now}
 		}
@@ -71,11 +71,11 @@
 func (t *Table) applyAbsent(name string, r Report) {
 	a := t.adapters[name]
 	_, held := r.Held[name]
-	_, coming := r.Coming[name]
+	_, coming := r.Loading[name]
 	if held || coming {
 		return
 	}
-	if a.loading && r.Asked.Sub(a.since) < orderTimeout {
+	if a.loading && r.RequestedAt.Sub(a.since) < orderTimeout {
 		return
 	}
 	a.version = absent
@@ -91,7 +91,7 @@
 // them uses would cut it off.
 func (t *Table) applyEnding(r Report) {
 	for id, e := range t.ending {
-		if r.Runs[id] || !r.Asked.After(e.at) {
+		if r.Running[id] || !r.RequestedAt.After(e.at) {
 			continue
 		}
 		delete(t.ending, id)
@@ -100,7 +100,7 @@
 		}
 	}
 	t.foreign = 0
-	for id := range r.Runs {
+	for id := range r.Running {
 		if _, known := t.ending[id]; !known && t.started[id] == nil {
 			t.foreign++
 		}
@@ -109,7 +109,7 @@
 
 func (t *Table) applyRuns(r Report, now time.Time) {
 	for id, s := range t.started {
-		if r.Runs[id] {
+		if r.Running[id] {
 			s.seen, s.missing = true, 0
 			continue
 		}
--- a/coord/residency/residency.go
+++ b/coord/residency/residency.go
@@ -17,9 +17,9 @@
 
 // Options describes the engine.
 type Options struct {
-	// Places is the maximum number of adapters that the engine holds, including
+	// MaxAdapters is the maximum number of adapters that the engine holds, including
 	// loads in progress.
-	Places int
+	MaxAdapters int
 	// Batch is the maximum number of requests that run at once.
 	Batch int
 	// MemoryTokens bounds the total tokens of all running requests.
@@ -49,8 +49,8 @@
 	// Target is the target time of the first event. Among equal ranks, requests
 	// that can still meet their target go first.
 	Target time.Time
-	// Latest is the time after which the request is no longer started.
-	Latest time.Time
+	// StartDeadline is the time after which the request is no longer started.
+	StartDeadline time.Time
 	// late is set once a start would miss the target.
 	late bool
 }
@@ -237,8 +237,8 @@
 	return t.plan(now)
 }
 
-// Named records that a newer version of an adapter was announced.
-func (t *Table) Named(adapter string, version int64, now time.Time) []Action {
+// VersionAnnounced records that a newer version of an adapter was announced.
+func (t *Table) VersionAnnounced(adapter string, version int64, now time.Time) []Action {
 	if version <= t.newest[adapter].version {
 		return nil
 	}
@@ -273,9 +273,9 @@
 	return actions
 }
 
-// Ordered records the engine's answer to an order. An accepted order takes
+// OrderAnswered records the engine's answer to an order. An accepted order takes
 // effect later and shows in a report; a refused one never takes effect.
-func (t *Table) Ordered(adapter string, accepted bool, now time.Time) []Action {
+func (t *Table) OrderAnswered(adapter string, accepted bool, now time.Time) []Action {
 	a := t.adapters[adapter]
 	if a == nil || accepted {
 		return nil
--- a/coord/residency/residency_test.go
+++ b/coord/residency/residency_test.go
@@ -13,7 +13,7 @@
 var start = time.Unix(1_000_000, 0)
 
 func options() Options {
-	return Options{Places: 2, Batch: 4, MemoryTokens: 10_000, Loads: 2, Queue: 16, Grace: 2 * time.Second}
+	return Options{MaxAdapters: 2, Batch: 4, MemoryTokens: 10_000, Loads: 2, Queue: 16, Grace: 2 * time.Second}
 }
 
 // tableWithRate returns a table for an engine that has read 4,000 tokens at 10
@@ -26,12 +26,12 @@
 }
 
 func request(id, adapter string) Request {
-	return Request{ID: id, Adapter: adapter, Prompt: 10, Tokens: 20, Latest: start.Add(time.Hour)}
+	return Request{ID: id, Adapter: adapter, Prompt: 10, Tokens: 20, StartDeadline: start.Add(time.Hour)}
 }
 
 // heldReport returns a report of an engine that holds adapters at version 0.
 func heldReport(at time.Time, names ...string) Report {
-	r := Report{Held: make(map[string]int64), Asked: at}
+	r := Report{Held: make(map[string]int64), RequestedAt: at}
 	for _, name := range names {
 		r.Held[name] = 0
 	}
@@ -67,7 +67,7 @@
 	expect(t, "admit", table.Admit(request("r1", "m/a"), start), "load m/a@0")
 	expect(t, "second request", table.Admit(request("r2", "m/a"), start))
 	later := start.Add(300 * time.Millisecond)
-	expect(t, "report", table.Take(heldReport(later, "m/a"), later), "start r1", "start r2")
+	expect(t, "report", table.Apply(heldReport(later, "m/a"), later), "start r1", "start r2")
 	expect(t, "third request", table.Admit(request("r3", "m/a"), later), "start r3")
 }
 
@@ -76,15 +76,15 @@
 // would crash the engine and fail all of its requests.
 func TestAdapterInUseIsNotUnloaded(t *testing.T) {
 	table := New(options())
-	table.Take(heldReport(start, "m/a", "m/b"), start)
+	table.Apply(heldReport(start, "m/a", "m/b"), start)
 	table.Admit(request("r1", "m/a"), start)
 	table.Admit(request("r2", "m/b"), start)
 	expect(t, "no free capacity", table.Admit(request("r3", "m/c"), start))
 	expect(t, "one ends, but the engine may still run it", table.Done("r1", start))
 	running := heldReport(start, "m/a", "m/b")
-	running.Runs = map[string]bool{"r2": true}
-	running.Asked = start.Add(time.Millisecond)
-	expect(t, "the engine no longer runs it", table.Take(running, running.Asked), "unload m/a")
+	running.Running = map[string]bool{"r2": true}
+	running.RequestedAt = start.Add(time.Millisecond)
+	expect(t, "the engine no longer runs it", table.Apply(running, running.RequestedAt), "unload m/a")
 	expect(t, "the adapter is dropped", table.Unloaded("m/a", start), "load m/c@0")
 }
 
@@ -94,9 +94,9 @@
 // would stall for seconds.
 func TestVersionInUseIsReplacedAfterItsRequestsEnd(t *testing.T) {
 	table := New(options())
-	table.Take(heldReport(start, "m/a"), start)
+	table.Apply(heldReport(start, "m/a"), start)
 	table.Admit(request("r1", "m/a"), start)
-	expect(t, "announced", table.Named("m/a", 2, start))
+	expect(t, "announced", table.VersionAnnounced("m/a", 2, start))
 	if _, stale := table.Held(start); !slices.Equal(stale, []string{"m/a"}) {
 		t.Errorf("stale adapters are %v, want m/a", stale)
 	}
@@ -106,18 +106,18 @@
 	expect(t, "one ends", table.Done("r1", late))
 	expect(t, "both end", table.Done("r2", late))
 	late = late.Add(time.Millisecond)
-	expect(t, "the engine runs neither request", table.Take(heldReport(late, "m/a"), late), "load m/a@2")
+	expect(t, "the engine runs neither request", table.Apply(heldReport(late, "m/a"), late), "load m/a@2")
 	expect(t, "others wait for the replacement", table.Admit(request("r4", "m/b"), late))
 	done := late.Add(200 * time.Millisecond)
 	report := heldReport(done)
 	report.Held["m/a"] = 2
-	expect(t, "the replacement is complete", table.Take(report, done), "start r3", "load m/b@0")
+	expect(t, "the replacement is complete", table.Apply(report, done), "start r3", "load m/b@0")
 }
 
 func TestRequestsInTimeGoFirstWithinRank(t *testing.T) {
 	table := New(options())
-	table.SetOptions(Options{Places: 2, Batch: 1, MemoryTokens: 10_000, Loads: 2, Queue: 16})
-	table.Take(heldReport(start, "m/a"), start)
+	table.SetOptions(Options{MaxAdapters: 2, Batch: 1, MemoryTokens: 10_000, Loads: 2, Queue: 16})
+	table.Apply(heldReport(start, "m/a"), start)
 	table.Admit(request("running", "m/a"), start)
 	for _, r := range []struct {
 		id     string
@@ -140,7 +140,7 @@
 // third of a second.
 func TestPromptStartsArePaced(t *testing.T) {
 	table := tableWithRate()
-	table.Take(heldReport(start, "m/a"), start)
+	table.Apply(heldReport(start, "m/a"), start)
 	long := func(id string) Request {
 		r := request(id, "m/a")
 		r.Prompt = 4000
@@ -155,12 +155,12 @@
 
 func TestReadPartsAreNotCountedAgain(t *testing.T) {
 	table := tableWithRate()
-	table.Take(heldReport(start, "m/a"), start)
+	table.Apply(heldReport(start, "m/a"), start)
 	shared := request("r1", "m/a")
 	shared.Prompt, shared.Parts = 1000, []Part{{"system", 900}, {"own", 100}}
 	table.Admit(shared, start)
 	alone := table.pacer.readUntil.Sub(start)
-	table.Begun("r1", start.Add(100*time.Millisecond))
+	table.FirstEvent("r1", start.Add(100*time.Millisecond))
 	table.Done("r1", start.Add(time.Second))
 	again := start.Add(2 * time.Second)
 	shared.ID = "r2"
@@ -205,7 +205,7 @@
 	o := options()
 	o.Batch, o.MemoryTokens = 16, 100_000
 	table := New(o)
-	table.Take(heldReport(start, "m/a"), start)
+	table.Apply(heldReport(start, "m/a"), start)
 	long := func(id string) Request {
 		r := request(id, "m/a")
 		r.Prompt = 1000
@@ -218,7 +218,7 @@
 		t.Errorf("the delay is %v while the rate is unknown, want 0", delay)
 	}
 	for i, id := range []string{"r1", "r2", "r3"} {
-		table.Begun(id, start.Add(time.Duration(i+1)*50*time.Millisecond))
+		table.FirstEvent(id, start.Add(time.Duration(i+1)*50*time.Millisecond))
 	}
 	if got := table.pacer.rate(); got < 19 || got > 21 {
 		t.Errorf("the rate is %.1f tokens/ms, want 20: 3,000 tokens were read in 150 ms", got)
@@ -235,7 +235,7 @@
 func TestRequestIsRefusedAfterLatestStart(t *testing.T) {
 	table := New(options())
 	r := request("r1", "m/a")
-	r.Latest = start.Add(time.Second)
+	r.StartDeadline = start.Add(time.Second)
 	table.Admit(r, start)
 	expect(t, "too late", table.Tick(start.Add(2*time.Second)), "refuse r1 too_late")
 }
@@ -251,12 +251,12 @@
 // place in the batch must become free.
 func TestRequestsOfCrashedEntryAreDropped(t *testing.T) {
 	table := New(options())
-	table.Take(heldReport(start, "m/a"), start)
+	table.Apply(heldReport(start, "m/a"), start)
 	table.Admit(request("r1", "m/a"), start)
 	now := start
 	for range missingReports + 1 {
 		now = now.Add(unseenTimeout)
-		table.Take(heldReport(now, "m/a"), now)
+		table.Apply(heldReport(now, "m/a"), now)
 	}
 	if table.Running() != 0 || table.Tokens() != 0 {
 		t.Errorf("%d requests with %d tokens are still counted", table.Running(), table.Tokens())
@@ -268,7 +268,7 @@
 func TestEngineIsNeverOverloaded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := options()
-		o.Places = rapid.IntRange(1, 3).Draw(t, "places")
+		o.MaxAdapters = rapid.IntRange(1, 3).Draw(t, "places")
 		table := New(o)
 		engine := make(map[string]bool)
 		uses := make(map[string]string)
@@ -278,8 +278,8 @@
 				switch a := action.(type) {
 				case Load:
 					engine[a.Adapter] = true
-					if len(engine) > o.Places {
-						t.Fatalf("the engine is ordered to hold %v with a capacity of %d", engine, o.Places)
+					if len(engine) > o.MaxAdapters {
+						t.Fatalf("the engine is ordered to hold %v with a capacity of %d", engine, o.MaxAdapters)
 					}
 				case Unload:
 					for id, adapter := range uses {
@@ -303,14 +303,14 @@
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 4:
 				asked := heldReport(now, slices.Collect(maps.Keys(engine))...)
-				asked.Runs = make(map[string]bool)
+				asked.Running = make(map[string]bool)
 				for id := range uses {
-					asked.Runs[id] = true
+					asked.Running[id] = true
 				}
 				unread = &asked
 			case 5:
 				if unread != nil {
-					check(table.Take(*unread, now))
+					check(table.Apply(*unread, now))
 					unread = nil
 				}
 			case 6:
@@ -325,7 +325,7 @@
 			case 0:
 				next++
 				r := request(fmt.Sprint("r", next), "m/"+rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "adapter"))
-				r.Latest = now.Add(time.Second)
+				r.StartDeadline = now.Add(time.Second)
 				check(table.Admit(r, now))
 			case 1:
 				// The engine may run the request for a while after the caller knows
@@ -338,15 +338,15 @@
 				// Reports are requested one after the other.
 				unread = nil
 				report := heldReport(now, slices.Collect(maps.Keys(engine))...)
-				report.Runs = make(map[string]bool)
+				report.Running = make(map[string]bool)
 				for _, id := range slices.Sorted(maps.Keys(uses)) {
 					if table.started[id] == nil && rapid.Bool().Draw(t, "stopped") {
 						delete(uses, id)
 						continue
 					}
-					report.Runs[id] = true
+					report.Running[id] = true
 				}
-				check(table.Take(report, now))
+				check(table.Apply(report, now))
 			default:
 				check(table.Tick(now))
 			}
@@ -361,18 +361,18 @@
 // capacity and crash the engine with all of its requests.
 func TestStaleReportDoesNotRestoreUnloadedAdapter(t *testing.T) {
 	o := options()
-	o.Places = 1
+	o.MaxAdapters = 1
 	table := New(o)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	table.Take(heldReport(at(0), "m/a"), at(0))
+	table.Apply(heldReport(at(0), "m/a"), at(0))
 	expect(t, "another adapter is requested", table.Admit(request("r1", "m/b"), at(10)), "unload m/a")
 	expect(t, "the unload is complete", table.Unloaded("m/a", at(20)), "load m/b@0")
-	expect(t, "stale report", table.Take(heldReport(at(5), "m/a"), at(25)))
+	expect(t, "stale report", table.Apply(heldReport(at(5), "m/a"), at(25)))
 	expect(t, "the dropped adapter is requested", table.Admit(request("r2", "m/a"), at(30)))
 	report := heldReport(at(40))
-	report.Coming = map[string]int64{"m/b": 0}
-	expect(t, "new report", table.Take(report, at(45)))
-	expect(t, "the load has ended", table.Take(heldReport(at(300), "m/b"), at(300)), "start r1")
+	report.Loading = map[string]int64{"m/b": 0}
+	expect(t, "new report", table.Apply(report, at(45)))
+	expect(t, "the load has ended", table.Apply(heldReport(at(300), "m/b"), at(300)), "start r1")
 }
 
 // The engine has dropped an adapter on its own while a request that started on
@@ -380,14 +380,14 @@
 // other load.
 func TestReloadNeedsFreeCapacity(t *testing.T) {
 	o := options()
-	o.Places = 1
+	o.MaxAdapters = 1
 	table := New(o)
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
-	table.Take(heldReport(at(0), "m/a"), at(0))
+	table.Apply(heldReport(at(0), "m/a"), at(0))
 	expect(t, "start", table.Admit(request("r1", "m/a"), at(0)), "start r1")
 	report := heldReport(at(1), "m/b")
-	report.Runs = map[string]bool{"r1": true}
-	expect(t, "another adapter takes its capacity", table.Take(report, at(1)))
+	report.Running = map[string]bool{"r1": true}
+	expect(t, "another adapter takes its capacity", table.Apply(report, at(1)))
 	for _, action := range table.Admit(request("r2", "m/a"), at(2)) {
 		if load, ok := action.(Load); ok {
 			t.Errorf("a load of %s is ordered although the engine is full", load.Adapter)
@@ -400,9 +400,9 @@
 func TestNoUnloadWhileUnknownRequestsRun(t *testing.T) {
 	table := New(options())
 	report := heldReport(start, "m/a", "m/b")
-	report.Runs = map[string]bool{"of before": true}
-	table.Take(report, start)
+	report.Running = map[string]bool{"of before": true}
+	table.Apply(report, start)
 	expect(t, "no free capacity", table.Admit(request("r1", "m/c"), start))
-	report.Runs, report.Asked = nil, start.Add(time.Second)
-	expect(t, "the unknown request has ended", table.Take(report, start.Add(time.Second)), "unload m/a")
+	report.Running, report.RequestedAt = nil, start.Add(time.Second)
+	expect(t, "the unknown request has ended", table.Apply(report, start.Add(time.Second)), "unload m/a")
 }
--- a/coord/retry/retry.go
+++ b/coord/retry/retry.go
@@ -117,7 +117,7 @@
 }
 
 func (b *Budget) refusal(e Ended) Reason {
-	fate := Fate{Outcome: e.Outcome, Idempotent: e.Idempotent, Attempts: e.Attempt, Most: b.limits.Attempts}
+	fate := Failure{Outcome: e.Outcome, Idempotent: e.Idempotent, Attempts: e.Attempt, MaxAttempts: b.limits.Attempts}
 	if reason := fate.Refusal(); reason != ReasonNone {
 		return reason
 	}
--- a/coord/retry/retry_test.go
+++ b/coord/retry/retry_test.go
@@ -108,14 +108,14 @@
 func TestRefusal(t *testing.T) {
 	tests := []struct {
 		name string
-		fate retry.Fate
+		fate retry.Failure
 		want retry.Reason
 	}{
-		{"a booking that did not run", retry.Fate{Outcome: outcome.NotRun, Attempts: 1, Most: 2}, retry.ReasonNone},
-		{"a booking that may have run", retry.Fate{Outcome: outcome.Unknown, Attempts: 1, Most: 2}, retry.ReasonMayHaveRun},
-		{"a read that may have run", retry.Fate{Outcome: outcome.Unknown, Idempotent: true, Attempts: 1, Most: 2}, retry.ReasonNone},
-		{"a read without attempts left", retry.Fate{Outcome: outcome.Unknown, Idempotent: true, Attempts: 2, Most: 2}, retry.ReasonAttempts},
-		{"a booking that never ran, without attempts left", retry.Fate{Outcome: outcome.NotRun, Attempts: 2, Most: 2}, retry.ReasonAttempts},
+		{"a booking that did not run", retry.Failure{Outcome: outcome.NotRun, Attempts: 1, MaxAttempts: 2}, retry.ReasonNone},
+		{"a booking that may have run", retry.Failure{Outcome: outcome.Unknown, Attempts: 1, MaxAttempts: 2}, retry.ReasonMayHaveRun},
+		{"a read that may have run", retry.Failure{Outcome: outcome.Unknown, Idempotent: true, Attempts: 1, MaxAttempts: 2}, retry.ReasonNone},
+		{"a read without attempts left", retry.Failure{Outcome: outcome.Unknown, Idempotent: true, Attempts: 2, MaxAttempts: 2}, retry.ReasonAttempts},
+		{"a booking that never ran, without attempts left", retry.Failure{Outcome: outcome.NotRun, Attempts: 2, MaxAttempts: 2}, retry.ReasonAttempts},
 	}
 	for _, test := range tests {
 		if got := test.fate.Refusal(); got != test.want {
--- a/coord/roster/roster.go
+++ b/coord/roster/roster.go
@@ -50,9 +50,9 @@
 	return s.Sequence > b.Sequence
 }
 
-// Beat is a heartbeat: it reports only that an incarnation is alive. Most
-// announcements contain no other news for daemons.
-type Beat struct {
+// Heartbeat reports only that an incarnation is alive. Most announcements contain
+// no other news for daemons.
+type Heartbeat struct {
 	ID       string `json:"id"`
 	Born     int64  `json:"born"`
 	Sequence int64  `json:"sequence"`
@@ -94,13 +94,13 @@
 	return &Roster{entries: make(map[string]*Entry), addresses: make(map[string][]string)}
 }
 
-// Take applies an announcement. news reports whether it is the newest one of its
+// Apply applies an announcement. news reports whether it is the newest one of its
 // server, material whether it contains more than that the server is alive.
 //
 // A heartbeat that was delayed by a partition may arrive after its sender crashed
 // and another incarnation registered at the address. Its earlier start time
 // identifies it, and it must not list the dead server again.
-func (r *Roster) Take(s Server, now time.Time) (news, material bool) {
+func (r *Roster) Apply(s Server, now time.Time) (news, material bool) {
 	known, ok := r.entries[s.ID]
 	if ok && !s.newer(&known.Server) {
 		return false, false
@@ -135,9 +135,9 @@
 	return true, material
 }
 
-// Hear applies a heartbeat. missing reports whether the incarnation is unknown to
-// this daemon, which then needs its full announcement.
-func (r *Roster) Hear(b Beat, now time.Time) (missing bool) {
+// ApplyHeartbeat applies a heartbeat. missing reports whether the incarnation is
+// unknown to this daemon, which then needs its full announcement.
+func (r *Roster) ApplyHeartbeat(b Heartbeat, now time.Time) (missing bool) {
 	known, ok := r.entries[b.ID]
 	if !ok || known.Born < b.Born {
 		return true
@@ -149,7 +149,7 @@
 	s.Sequence = b.Sequence
 	// ColdMillis was relative to the time of the last announcement.
 	s.ColdMillis = max(s.ColdMillis-now.Sub(known.Heard).Milliseconds(), 0)
-	if _, material := r.Take(s, now); !material {
+	if _, material := r.Apply(s, now); !material {
 		// The sender has already limited the rate of heartbeats, and other
 		// daemons depend on this one to forward them.
 		r.change++
--- a/coord/roster/roster_test.go
+++ b/coord/roster/roster_test.go
@@ -14,9 +14,9 @@
 // go to the server that has crashed.
 func TestLateHeartbeatDoesNotReviveServer(t *testing.T) {
 	r := New()
-	r.Take(Server{ID: "old", Born: 100, Sequence: 3, Address: "a:1"}, start)
-	r.Take(Server{ID: "new", Born: 200, Sequence: 1, Address: "a:1"}, start)
-	if news, _ := r.Take(Server{ID: "old", Born: 100, Sequence: 4, Address: "a:1"}, start); news {
+	r.Apply(Server{ID: "old", Born: 100, Sequence: 3, Address: "a:1"}, start)
+	r.Apply(Server{ID: "new", Born: 200, Sequence: 1, Address: "a:1"}, start)
+	if news, _ := r.Apply(Server{ID: "old", Born: 100, Sequence: 4, Address: "a:1"}, start); news {
 		e, _ := r.Get("old")
 		if !e.Gone {
 			t.Error("the late heartbeat revived the old server")
@@ -31,8 +31,8 @@
 // arrives.
 func TestLateHeartbeatOfUnknownServerIsIgnored(t *testing.T) {
 	r := New()
-	r.Take(Server{ID: "new", Born: 200, Sequence: 1, Address: "a:1"}, start)
-	if news, _ := r.Take(Server{ID: "old", Born: 100, Sequence: 9, Address: "a:1"}, start); news {
+	r.Apply(Server{ID: "new", Born: 200, Sequence: 1, Address: "a:1"}, start)
+	if news, _ := r.Apply(Server{ID: "old", Born: 100, Sequence: 9, Address: "a:1"}, start); news {
 		t.Error("a server that was superseded at its address was accepted")
 	}
 }
@@ -41,13 +41,13 @@
 // arrives afterwards. Work that is sent to it after its notice would be aborted.
 func TestLeavingIsFinalForIncarnation(t *testing.T) {
 	r := New()
-	r.Take(Server{ID: "s", Born: 1, Sequence: 5, Address: "a:1", Leaving: true}, start)
-	r.Take(Server{ID: "s", Born: 1, Sequence: 4, Address: "a:1"}, start)
-	r.Take(Server{ID: "s", Born: 1, Sequence: 6, Address: "a:1"}, start)
+	r.Apply(Server{ID: "s", Born: 1, Sequence: 5, Address: "a:1", Leaving: true}, start)
+	r.Apply(Server{ID: "s", Born: 1, Sequence: 4, Address: "a:1"}, start)
+	r.Apply(Server{ID: "s", Born: 1, Sequence: 6, Address: "a:1"}, start)
 	if len(r.Serving()) != 0 {
 		t.Error("a leaving server is served again")
 	}
-	r.Take(Server{ID: "s", Born: 2, Sequence: 1, Address: "a:1"}, start)
+	r.Apply(Server{ID: "s", Born: 2, Sequence: 1, Address: "a:1"}, start)
 	if len(r.Serving()) != 1 {
 		t.Error("the same ID with a later start time is not served")
 	}
@@ -75,10 +75,10 @@
 		shuffled := rapid.Permutation(announcements).Draw(t, "shuffled")
 		one, two := New(), New()
 		for _, s := range announcements {
-			one.Take(s, start)
+			one.Apply(s, start)
 		}
 		for _, s := range shuffled {
-			two.Take(s, start)
+			two.Apply(s, start)
 		}
 		first, second := one.Serving(), two.Serving()
 		if len(first) != len(second) {
@@ -94,11 +94,11 @@
 
 func TestSinceListsOnlyChanges(t *testing.T) {
 	r := New()
-	r.Take(Server{ID: "a", Born: 1, Sequence: 1, Address: "a:1"}, start)
-	r.Take(Server{ID: "b", Born: 1, Sequence: 1, Address: "b:1"}, start)
+	r.Apply(Server{ID: "a", Born: 1, Sequence: 1, Address: "a:1"}, start)
+	r.Apply(Server{ID: "b", Born: 1, Sequence: 1, Address: "b:1"}, start)
 	seen, material := r.Change(), r.Material()
 	soon, later := start.Add(beatInterval-1), start.Add(beatInterval)
-	if _, material := r.Take(Server{ID: "a", Born: 1, Sequence: 2, Address: "a:1"}, soon); material {
+	if _, material := r.Apply(Server{ID: "a", Born: 1, Sequence: 2, Address: "a:1"}, soon); material {
 		t.Error("a heartbeat without news counts as material")
 	}
 	if changed := r.Since(seen); len(changed) != 0 {
@@ -107,7 +107,7 @@
 	if e, _ := r.Get("a"); !e.Heard.Equal(soon) || e.Sequence != 2 {
 		t.Errorf("after the heartbeat: %+v, want it applied nevertheless", e)
 	}
-	r.Take(Server{ID: "a", Born: 1, Sequence: 3, Address: "a:1"}, later)
+	r.Apply(Server{ID: "a", Born: 1, Sequence: 3, Address: "a:1"}, later)
 	changed := r.Since(seen)
 	if len(changed) != 1 || changed[0].ID != "a" || changed[0].Material > seen {
 		t.Errorf("since %d changed %v, want a's heartbeat, not material", seen, changed)
@@ -123,27 +123,27 @@
 	}
 }
 
-// Most heartbeats reach other daemons only as a Beat. It must keep the server
+// Most heartbeats reach other daemons only as a Heartbeat. It must keep the server
 // listed, must not revive a terminated incarnation, and must not count as the
 // announcement of an unknown one.
 func TestBeatKeepsServerListed(t *testing.T) {
 	r := New()
-	r.Take(Server{ID: "a", Born: 2, Sequence: 4, Address: "a:1", ColdMillis: 3000}, start)
+	r.Apply(Server{ID: "a", Born: 2, Sequence: 4, Address: "a:1", ColdMillis: 3000}, start)
 	now := start.Add(time.Second)
 	tests := []struct {
 		name     string
-		beat     Beat
+		beat     Heartbeat
 		missing  bool
 		sequence int64
 	}{
-		{"newer", Beat{ID: "a", Born: 2, Sequence: 5}, false, 5},
-		{"delayed", Beat{ID: "a", Born: 2, Sequence: 3}, false, 5},
-		{"of an earlier incarnation", Beat{ID: "a", Born: 1, Sequence: 9}, false, 5},
-		{"of a later incarnation", Beat{ID: "a", Born: 3, Sequence: 1}, true, 5},
-		{"of an unknown server", Beat{ID: "b", Born: 1, Sequence: 1}, true, 5},
+		{"newer", Heartbeat{ID: "a", Born: 2, Sequence: 5}, false, 5},
+		{"delayed", Heartbeat{ID: "a", Born: 2, Sequence: 3}, false, 5},
+		{"of an earlier incarnation", Heartbeat{ID: "a", Born: 1, Sequence: 9}, false, 5},
+		{"of a later incarnation", Heartbeat{ID: "a", Born: 3, Sequence: 1}, true, 5},
+		{"of an unknown server", Heartbeat{ID: "b", Born: 1, Sequence: 1}, true, 5},
 	}
 	for _, test := range tests {
-		if missing := r.Hear(test.beat, now); missing != test.missing {
+		if missing := r.ApplyHeartbeat(test.beat, now); missing != test.missing {
 			t.Errorf("%s: missing = %v", test.name, missing)
 		}
 		if e, _ := r.Get("a"); e.Sequence != test.sequence || e.Born != 2 {
@@ -154,7 +154,7 @@
 		t.Errorf("after the beat: %+v, want it heard now and cold for 2 s more", e)
 	}
 	r.Leave("a", now)
-	r.Hear(Beat{ID: "a", Born: 2, Sequence: 8}, now)
+	r.ApplyHeartbeat(Heartbeat{ID: "a", Born: 2, Sequence: 8}, now)
 	if len(r.Serving()) != 0 {
 		t.Error("a beat revived a server that had left")
 	}
@@ -162,7 +162,7 @@
 
 func TestExpiryIsMaterialChange(t *testing.T) {
 	r := New()
-	r.Take(Server{ID: "a", Born: 1, Sequence: 1, Address: "a:1"}, start)
+	r.Apply(Server{ID: "a", Born: 1, Sequence: 1, Address: "a:1"}, start)
 	before := r.Material()
 	r.Expire(start, start.Add(time.Second))
 	if len(r.Serving()) != 0 || r.Material() == before {
@@ -172,8 +172,8 @@
 
 func TestSilentServersExpire(t *testing.T) {
 	r := New()
-	r.Take(Server{ID: "quiet", Born: 1, Address: "a:1"}, start)
-	r.Take(Server{ID: "alive", Born: 1, Address: "b:1"}, start.Add(10*time.Second))
+	r.Apply(Server{ID: "quiet", Born: 1, Address: "a:1"}, start)
+	r.Apply(Server{ID: "alive", Born: 1, Address: "b:1"}, start.Add(10*time.Second))
 	r.Expire(start, start.Add(5*time.Second))
 	if serving := r.Serving(); len(serving) != 1 || serving[0].ID != "alive" {
 		t.Errorf("serving are %v, want only the server that was heard", serving)
--- a/coord/slots/plan.go
+++ b/coord/slots/plan.go
@@ -87,8 +87,8 @@
 }
 
 // preventStarvation closes a slot to new requests if an adapter has waited for
-// Patience. Popular adapters with requests always running would otherwise hold every
-// slot indefinitely, and requests for other adapters would time out without a stated
+// StarvationTimeout. Popular adapters with requests always running would otherwise hold
+// every slot indefinitely, and requests for other adapters would time out without a stated
 // reason. The least valuable slot stays closed until it is reused or no longer needed.
 // Waiting for a permit does not count while a slot is free or can be freed: more
 // slots would only add loads to an overloaded weight store.
@@ -111,7 +111,7 @@
 
 func (t *Table) starving(now time.Time) bool {
 	for _, w := range t.pending {
-		if _, present := t.slots[w.ref]; !present && now.Sub(w.since) >= t.options.Patience {
+		if _, present := t.slots[w.ref]; !present && now.Sub(w.since) >= t.options.StarvationTimeout {
 			return true
 		}
 	}
--- a/coord/slots/slots.go
+++ b/coord/slots/slots.go
@@ -107,9 +107,9 @@
 	Eviction Eviction
 	// HalfLife is the time in which an adapter's past use loses half its weight.
 	HalfLife time.Duration
-	// Patience is how long an adapter waits while every slot is pinned before
+	// StarvationTimeout is how long an adapter waits while every slot is pinned before
 	// one slot is closed to new requests to make room for it.
-	Patience time.Duration
+	StarvationTimeout time.Duration
 	// RetryMin and RetryMax bound the pause after failed loads of an adapter.
 	RetryMin time.Duration
 	RetryMax time.Duration
@@ -191,7 +191,7 @@
 // NewTable returns an empty table.
 func NewTable(options Options) *Table {
 	options.HalfLife = cmp.Or(options.HalfLife, defaultHalfLife)
-	options.Patience = cmp.Or(options.Patience, defaultPatience)
+	options.StarvationTimeout = cmp.Or(options.StarvationTimeout, defaultPatience)
 	options.RetryMin = cmp.Or(options.RetryMin, defaultRetryMin)
 	options.RetryMax = cmp.Or(options.RetryMax, defaultRetryMax)
 	return &Table{
@@ -393,9 +393,9 @@
 	return actions
 }
 
-// Lost reports that the engine does not have an adapter that the table counts as
-// loaded. Otherwise every request for it would be sent to the engine and fail.
-func (t *Table) Lost(ref catalogue.Ref, now time.Time) []Action {
+// AdapterMissing reports that the engine does not have an adapter that the table counts
+// as loaded. Otherwise every request for it would be sent to the engine and fail.
+func (t *Table) AdapterMissing(ref catalogue.Ref, now time.Time) []Action {
 	if s, ok := t.slots[ref]; ok && s.phase == phaseLoaded {
 		delete(t.slots, ref)
 	}
--- a/coord/slots/slots_test.go
+++ b/coord/slots/slots_test.go
@@ -165,7 +165,7 @@
 // truncated answer or as a refusal by the engine.
 func TestTableAgainstModelEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := newModelEngine(t, Options{Slots: rapid.IntRange(1, 3).Draw(t, "slots"), Queue: 6, Patience: time.Second})
+		e := newModelEngine(t, Options{Slots: rapid.IntRange(1, 3).Draw(t, "slots"), Queue: 6, StarvationTimeout: time.Second})
 		if rapid.Bool().Draw(t, "adopt") {
 			e.loaded[ref(0)], e.foreign[ref(0)] = true, true
 			e.table.Adopt(ref(0), true)
@@ -271,7 +271,7 @@
 // adapter must not wait until its caller gives up.
 func TestPinnedSlotsDoNotStarveWaitingAdapter(t *testing.T) {
 	now := time.Unix(0, 0)
-	table := NewTable(Options{Slots: 1, Queue: 8, Patience: time.Second})
+	table := NewTable(Options{Slots: 1, Queue: 8, StarvationTimeout: time.Second})
 	load := grantAll(table, table.Request(patientClaim(1, ref(1)), now), now)[0].(Load)
 	table.Loaded(load.Order, now)
 	table.Request(patientClaim(2, ref(2)), now)
--- a/coord/startup/startup.go
+++ b/coord/startup/startup.go
@@ -15,8 +15,8 @@
 	// Settle is the time after its start within which an entry may still learn the
 	// state of the others: a few heartbeats of the servers.
 	Settle time.Duration
-	// Most is the maximum number of requests that wait at once.
-	Most int
+	// MaxWaiting is the maximum number of requests that wait at once.
+	MaxWaiting int
 }
 
 // timeoutDivisor divides the caller's timeout: a request about which nothing else
@@ -42,5 +42,5 @@
 	if latest.Before(until) {
 		until = latest
 	}
-	return until, waiting < o.Most && until.After(now)
+	return until, waiting < o.MaxWaiting && until.After(now)
 }
--- a/coord/startup/startup_test.go
+++ b/coord/startup/startup_test.go
@@ -7,7 +7,7 @@
 
 func TestUntil(t *testing.T) {
 	started := time.Unix(1000, 0)
-	options := Options{Settle: 2 * time.Second, Most: 3}
+	options := Options{Settle: 2 * time.Second, MaxWaiting: 3}
 	at := func(d time.Duration) time.Time { return started.Add(d) }
 	tests := []struct {
 		name        string
--- a/coord/state/state.go
+++ b/coord/state/state.go
@@ -115,7 +115,7 @@
 // Suspects returns the suspicion records that are currently in effect, sorted by
 // fingerprint.
 func (m *Machine) Suspects() []suspicion.Record {
-	return slices.DeleteFunc(m.suspicion.Records(), func(r suspicion.Record) bool { return !r.Held(m.Clock()) })
+	return slices.DeleteFunc(m.suspicion.Records(), func(r suspicion.Record) bool { return !r.Restricted(m.Clock()) })
 }
 
 // suspect applies a command about crashing requests. Daemons receive only the
--- a/coord/suspicion/strikes.go
+++ b/coord/suspicion/strikes.go
@@ -38,8 +38,8 @@
 // NewStrikes returns an empty table.
 func NewStrikes() *Strikes { return &Strikes{records: make(map[uint64]*strikeRecord)} }
 
-// Take records a strike and reports whether it is new.
-func (s *Strikes) Take(strike Strike, now time.Time) bool {
+// Add records a strike and reports whether it is new.
+func (s *Strikes) Add(strike Strike, now time.Time) bool {
 	r := s.records[strike.Fingerprint]
 	if r == nil {
 		s.expire(now)
@@ -57,8 +57,8 @@
 	return true
 }
 
-// Held reports whether a request must not run.
-func (s *Strikes) Held(fingerprint uint64, now time.Time) bool {
+// Refused reports whether a request must not run.
+func (s *Strikes) Refused(fingerprint uint64, now time.Time) bool {
 	r := s.records[fingerprint]
 	return r != nil && len(r.servers) >= strikeLimit && now.Sub(r.last) < strikeLifetime
 }
--- a/coord/suspicion/strikes_test.go
+++ b/coord/suspicion/strikes_test.go
@@ -11,17 +11,17 @@
 func TestRequestIsHeldAfterThreeCrashes(t *testing.T) {
 	s, now := NewStrikes(), time.Unix(1000, 0)
 	for i, server := range []string{"a", "b", "b", "c"} {
-		if s.Held(7, now) {
+		if s.Refused(7, now) {
 			t.Fatalf("the request is held before strike %d", i)
 		}
-		if isNew := s.Take(Strike{7, server}, now); isNew != (i != 2) {
+		if isNew := s.Add(Strike{7, server}, now); isNew != (i != 2) {
 			t.Errorf("strike %d counts as new: %v", i, isNew)
 		}
 	}
-	if !s.Held(7, now) || s.Held(8, now) {
+	if !s.Refused(7, now) || s.Refused(8, now) {
 		t.Error("after crashes of three servers the request should be held, and no other")
 	}
-	if s.Held(7, now.Add(strikeLifetime)) {
+	if s.Refused(7, now.Add(strikeLifetime)) {
 		t.Error("the request is still held after its strikes have expired")
 	}
 }
@@ -29,12 +29,12 @@
 func TestStrikesAreBounded(t *testing.T) {
 	s, now := NewStrikes(), time.Unix(1000, 0)
 	for i := range uint64(2 * maxStrikeRecords) {
-		s.Take(Strike{i, "a"}, now)
+		s.Add(Strike{i, "a"}, now)
 	}
 	if len(s.records) > maxStrikeRecords {
 		t.Errorf("%d requests are remembered", len(s.records))
 	}
-	s.Take(Strike{1 << 40, "a"}, now.Add(strikeLifetime))
+	s.Add(Strike{1 << 40, "a"}, now.Add(strikeLifetime))
 	if len(s.records) != 1 {
 		t.Errorf("%d requests are remembered after they have expired", len(s.records))
 	}
--- a/coord/suspicion/suspicion.go
+++ b/coord/suspicion/suspicion.go
@@ -68,8 +68,8 @@
 	Revision uint64 `json:"revision"`
 }
 
-// Held reports whether the record still restricts its request.
-func (r Record) Held(now time.Time) bool {
+// Restricted reports whether the record still restricts its request.
+func (r Record) Restricted(now time.Time) bool {
 	return r.State != Cleared && r.Expires > now.UnixMilli()
 }
 
--- a/coord/suspicion/suspicion_test.go
+++ b/coord/suspicion/suspicion_test.go
@@ -125,7 +125,7 @@
 // it. Without suspicion it crashes the whole fleet server by server; with
 // suspicion that is too coarse, innocent requests on the same servers are
 // refused.
-func TestAKillerTakesAtMostTwoServersAndNobodyElseIsRefused(t *testing.T) {
+func TestPoisonRequestCrashesAtMostTwoServers(t *testing.T) {
 	unprotected := 0
 	for seed := range uint64(50) {
 		f := newFleet(seed, "killer")
--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -56,7 +56,7 @@
 	router.Method(http.MethodPost, "/v1/chat/completions", serve)
 	router.Method(http.MethodGet, wire.PathRuns+"{request}", a.counted(answer.Handler(a.resume)))
 	router.Method(http.MethodDelete, wire.PathRuns+"{request}", answer.Handler(a.cancelRun))
-	router.Method(http.MethodGet, "/healthz", answer.Handler(func(*http.Request) answer.Answer { return answer.Whole(http.StatusOK, nil, nil) }))
+	router.Method(http.MethodGet, "/healthz", answer.Handler(func(*http.Request) answer.Answer { return answer.Full(http.StatusOK, nil, nil) }))
 	return router
 }
 
@@ -112,7 +112,7 @@
 	body, err := readWhole(r)
 	if err != nil {
 		// On a connection that goes on, the refusal would wait for the rest.
-		return refusal(http.StatusBadRequest, err.Error()).Closing()
+		return refusal(http.StatusBadRequest, err.Error()).WithConnectionClose()
 	}
 	leave, err := a.isolation.enter(r.Context(), r.Header.Get(wire.HeaderAlone) != "")
 	if err != nil {
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -175,7 +175,7 @@
 		response.Header.Set(wire.HeaderRan, ran)
 	}
 	started.setHead(runHead{said: outcome.Answered, status: response.StatusCode, header: response.Header, length: response.ContentLength})
-	if err := started.pump(ctx, relay.ShownEnd(response, answer), response); err != nil {
+	if err := started.pump(ctx, relay.VerifyEnd(response, answer), response); err != nil {
 		a.cut(ctx, started)
 	}
 }
@@ -318,7 +318,7 @@
 	if r.head.length < 0 {
 		return stream
 	}
-	return stream.Sized(r.head.length - offset)
+	return stream.WithLength(r.head.length - offset)
 }
 
 // feed passes on what the window holds from an offset on, as it comes.
@@ -383,5 +383,5 @@
 		}
 		found.cancel()
 	}
-	return answer.Whole(http.StatusNoContent, nil, nil)
+	return answer.Full(http.StatusNoContent, nil, nil)
 }
--- a/internal/agent/seats.go
+++ b/internal/agent/seats.go
@@ -245,7 +245,7 @@
 	default:
 		d.rate += rateGain * (rate - d.rate)
 	}
-	d.queue.Observe(d.rate)
+	d.queue.SetRate(d.rate)
 }
 
 func (d *seatDuty) nextWake(now time.Time) time.Duration {
--- a/internal/agent/slotduty.go
+++ b/internal/agent/slotduty.go
@@ -279,7 +279,7 @@
 func (e released) apply(d *slotDuty, now time.Time) []slots.Action { return d.table.Release(e.id, now) }
 
 func (e adapterLost) apply(d *slotDuty, now time.Time) []slots.Action {
-	return d.table.Lost(e.ref, now)
+	return d.table.AdapterMissing(e.ref, now)
 }
 
 func (e permitted) apply(d *slotDuty, now time.Time) []slots.Action {
--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -36,8 +36,8 @@
 	writeTimeout time.Duration
 }
 
-// Whole returns an answer with a complete body.
-func Whole(status int, header http.Header, body []byte) Answer {
+// Full returns an answer with a complete body.
+func Full(status int, header http.Header, body []byte) Answer {
 	return Answer{status: status, header: header, body: body}
 }
 
@@ -45,7 +45,7 @@
 func Text(status int, header http.Header, text string) Answer {
 	merged := http.Header{"Content-Type": {"text/plain; charset=utf-8"}, "X-Content-Type-Options": {"nosniff"}}
 	maps.Copy(merged, header)
-	return Whole(status, merged, []byte(text+"\n"))
+	return Full(status, merged, []byte(text+"\n"))
 }
 
 // Stream returns an answer with a body that feed produces piece by piece.
@@ -53,9 +53,9 @@
 	return Answer{status: status, header: header, feed: feed}
 }
 
-// Closing returns the answer with the header Connection: close, which asks the
-// caller to use another connection for its next request.
-func (a Answer) Closing() Answer {
+// WithConnectionClose returns the answer with the header Connection: close, which asks
+// the caller to use another connection for its next request.
+func (a Answer) WithConnectionClose() Answer {
 	a.header = maps.Clone(a.header)
 	if a.header == nil {
 		a.header = make(http.Header)
@@ -64,17 +64,17 @@
 	return a
 }
 
-// Sized returns a streamed answer that declares the length of its body, in bytes.
+// WithLength returns a streamed answer that declares the length of its body, in bytes.
 // If the feed passes fewer or more bytes, the body is cut even if the feed returns
 // Complete.
-func (a Answer) Sized(length int64) Answer {
+func (a Answer) WithLength(length int64) Answer {
 	a.hasLength, a.length = true, length
 	return a
 }
 
-// Accepted returns the answer with a timeout for writing its header, each piece
+// WithWriteTimeout returns the answer with a timeout for writing its header, each piece
 // and its end to the caller.
-func (a Answer) Accepted(timeout time.Duration) Answer {
+func (a Answer) WithWriteTimeout(timeout time.Duration) Answer {
 	a.writeTimeout = timeout
 	return a
 }
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -61,10 +61,10 @@
 		whole  bool
 	}{
 		{name: "none", none: true},
-		{name: "complete body", answer: answer.Whole(http.StatusOK, nil, []byte("body")), status: 200, body: "body", whole: true},
-		{name: "complete body with a wrong length header", answer: answer.Whole(http.StatusOK, http.Header{"Content-Length": {"2"}}, []byte("body")), status: 200, body: "body", whole: true},
+		{name: "complete body", answer: answer.Full(http.StatusOK, nil, []byte("body")), status: 200, body: "body", whole: true},
+		{name: "complete body with a wrong length header", answer: answer.Full(http.StatusOK, http.Header{"Content-Length": {"2"}}, []byte("body")), status: 200, body: "body", whole: true},
 		{name: "error text", answer: answer.Text(http.StatusBadGateway, nil, "why"), status: 502, body: "why\n", whole: true},
-		{name: "no content", answer: answer.Whole(http.StatusNoContent, nil, nil), status: 204, whole: true},
+		{name: "no content", answer: answer.Full(http.StatusNoContent, nil, nil), status: 204, whole: true},
 		{name: "complete stream", answer: stream(2, answer.Complete(nil)), status: 200, body: "piece piece ", whole: true},
 		{name: "empty stream", answer: stream(0, answer.Complete(nil)), status: 200, whole: true},
 		{name: "cut stream", answer: stream(2, answer.Cut), status: 200, body: "piece piece "},
@@ -105,7 +105,7 @@
 // The Content-Length of a response to HEAD is that of the body that is not sent.
 func TestHeadKeepsContentLength(t *testing.T) {
 	g := request(t, "1.1", http.MethodHead, func(*http.Request) answer.Answer {
-		return answer.Whole(http.StatusOK, http.Header{"Content-Length": {"800"}}, nil)
+		return answer.Full(http.StatusOK, http.Header{"Content-Length": {"800"}}, nil)
 	})
 	if g.header.Get("Content-Length") != "800" || g.body != "" || !g.complete {
 		t.Errorf("got %+v", g)
@@ -146,7 +146,7 @@
 
 func TestClosingSetsConnectionClose(t *testing.T) {
 	base := http.Header{"X-Kept": {"yes"}}
-	g := request(t, "1.1", http.MethodGet, func(*http.Request) answer.Answer { return answer.Whole(http.StatusOK, base, nil).Closing() })
+	g := request(t, "1.1", http.MethodGet, func(*http.Request) answer.Answer { return answer.Full(http.StatusOK, base, nil).WithConnectionClose() })
 	if g.header.Get("X-Kept") != "yes" || base.Get("Connection") != "" || !g.complete {
 		t.Errorf("got %+v, original header changed to %v", g, base)
 	}
@@ -158,7 +158,7 @@
 func TestNonFinalStatusSendsNoResponse(t *testing.T) {
 	for _, status := range []int{-1, 99, 100, 101, 103, 150, 1000} {
 		for name, a := range map[string]answer.Answer{
-			"complete": answer.Whole(status, nil, []byte("body")),
+			"complete": answer.Full(status, nil, []byte("body")),
 			"stream":   answer.Stream(status, nil, func(answer.Pass) answer.End { return answer.Complete(nil) }),
 		} {
 			if g := request(t, "1.1", http.MethodGet, func(*http.Request) answer.Answer { return a }); !g.noResponse {
@@ -179,7 +179,7 @@
 		99: {status: 200, body: "piece piece "},
 	} {
 		for _, proto := range []string{"1.1", "1.0"} {
-			g := request(t, proto, http.MethodGet, func(*http.Request) answer.Answer { return stream(2, answer.Complete(nil)).Sized(length) })
+			g := request(t, proto, http.MethodGet, func(*http.Request) answer.Answer { return stream(2, answer.Complete(nil)).WithLength(length) })
 			if declared := g.header.Get("Content-Length"); declared != fmt.Sprint(length) {
 				t.Errorf("HTTP/%s, %d declared: Content-Length is %q", proto, length, declared)
 			}
@@ -211,7 +211,7 @@
 func TestEachWriteHasItsOwnDeadline(t *testing.T) {
 	w := &callRecorder{ResponseRecorder: httptest.NewRecorder()}
 	answer.Handler(func(*http.Request) answer.Answer {
-		return stream(2, answer.Complete(nil)).Accepted(time.Minute)
+		return stream(2, answer.Complete(nil)).WithWriteTimeout(time.Minute)
 	}).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/", nil))
 	if w.calls != "deadline deadline write deadline write deadline " {
 		t.Errorf("calls on the connection: %q", w.calls)
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -19,7 +19,7 @@
 		return nil
 	}
 	router := chi.NewRouter()
-	router.Method(http.MethodGet, "/healthz", answer.Handler(func(*http.Request) answer.Answer { return answer.Whole(http.StatusOK, nil, nil) }))
+	router.Method(http.MethodGet, "/healthz", answer.Handler(func(*http.Request) answer.Answer { return answer.Full(http.StatusOK, nil, nil) }))
 	router.Method(http.MethodGet, "/readyz", answer.Handler(d.ready))
 	router.Get("/debug/vars", expvar.Handler().ServeHTTP)
 	return d.serveHTTP(statusListen, address, plain, router, func(context.Context) {})
@@ -29,8 +29,8 @@
 func (d *Daemon) ready(*http.Request) answer.Answer {
 	for _, check := range d.readiness {
 		if !check() {
-			return answer.Whole(http.StatusServiceUnavailable, nil, nil)
+			return answer.Full(http.StatusServiceUnavailable, nil, nil)
 		}
 	}
-	return answer.Whole(http.StatusOK, nil, nil)
+	return answer.Full(http.StatusOK, nil, nil)
 }
--- a/internal/entry/cut_test.go
+++ b/internal/entry/cut_test.go
@@ -39,7 +39,7 @@
 func startCutting(t *testing.T, cut cutPoint) *cuttingServer {
 	t.Helper()
 	if cut == cutDial {
-		held, err := loopback.Refuse()
+		held, err := loopback.NewRefuser()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -126,7 +126,7 @@
 // Handler serves callers and the platform.
 func (e *Entry) Handler() http.Handler {
 	router := chi.NewRouter()
-	router.Method(http.MethodGet, "/healthz", answer.Handler(func(*http.Request) answer.Answer { return answer.Whole(http.StatusOK, nil, nil) }))
+	router.Method(http.MethodGet, "/healthz", answer.Handler(func(*http.Request) answer.Answer { return answer.Full(http.StatusOK, nil, nil) }))
 	router.Method(http.MethodGet, "/readyz", answer.Handler(e.ready))
 	router.Method(http.MethodPost, "/v1/completions", e.serve(e.complete))
 	router.Method(http.MethodPost, "/v1/chat/completions", e.serve(e.complete))
@@ -164,9 +164,9 @@
 
 func (e *Entry) ready(*http.Request) answer.Answer {
 	if !e.Ready() {
-		return answer.Whole(http.StatusServiceUnavailable, nil, nil)
+		return answer.Full(http.StatusServiceUnavailable, nil, nil)
 	}
-	return answer.Whole(http.StatusOK, nil, nil)
+	return answer.Full(http.StatusOK, nil, nil)
 }
 
 // Ready reports whether the balancer may send callers here.
--- a/internal/entry/events.go
+++ b/internal/entry/events.go
@@ -67,7 +67,7 @@
 // must show its end where its frame does not tell it; its agent has seen to that.
 func (x *exchange) checkEnd(response *http.Response) {
 	if x.call.request.Kind == membership.KindEngine && !gated(x.server.Announcement) {
-		response.Body = readCloser{relay.ShownEnd(response, response.Body), response.Body}
+		response.Body = readCloser{relay.VerifyEnd(response, response.Body), response.Body}
 		return
 	}
 	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -120,11 +120,11 @@
 	header := x.header(response.Header)
 	if bodyless(x.request.Method, response.StatusCode) {
 		x.passed()
-		return answer.Whole(response.StatusCode, header, nil)
+		return answer.Full(response.StatusCode, header, nil)
 	}
 	stream := answer.Stream(response.StatusCode, header, func(pass answer.Pass) answer.End { return x.feed(pass, response, body) })
 	if response.ContentLength >= 0 {
-		return stream.Sized(response.ContentLength)
+		return stream.WithLength(response.ContentLength)
 	}
 	return stream
 }
--- a/internal/entry/failure.go
+++ b/internal/entry/failure.go
@@ -130,7 +130,7 @@
 	body := errorBody{Error: errorObject{Message: f.message, Type: errorType(f.status), Code: f.code, Param: f.clause}}
 	failed := inJSON(f.status, header, body)
 	if f.closing {
-		failed = failed.Closing()
+		failed = failed.WithConnectionClose()
 	}
 	return reply{failed, said}
 }
@@ -143,7 +143,7 @@
 		panic(errors.Wrap(err, "marshal answer"))
 	}
 	header.Set("Content-Type", "application/json")
-	return answer.Whole(status, header, append(body, '\n'))
+	return answer.Full(status, header, append(body, '\n'))
 }
 
 func errorType(status int) string {
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -107,7 +107,7 @@
 	if o.entry.options.Claims == nil {
 		return
 	}
-	if _, err := o.entry.options.Claims.Apply(ctx, claim.Command{ID: o.id, Free: &claim.Done{Token: o.token}}); err != nil {
+	if _, err := o.entry.options.Claims.Apply(ctx, claim.Command{ID: o.id, Release: &claim.Release{Token: o.token}}); err != nil {
 		claimUnsavedCount.Add(1)
 	}
 }
@@ -207,7 +207,7 @@
 	}
 	header.Set(headerReplayed, "true")
 	header.Set(outcome.Header, outcome.Answered.String())
-	return reply{answer.Whole(kept.Status, header, kept.Body), outcome.Answered}
+	return reply{answer.Full(kept.Status, header, kept.Body), outcome.Answered}
 }
 
 // claimView is what a caller reads about its call.
--- a/internal/entry/visit.go
+++ b/internal/entry/visit.go
@@ -55,7 +55,9 @@
 		// Deferred, because an answer that breaks off panics with
 		// ErrAbortHandler.
 		defer v.end()
-		answered := func(r *http.Request) answer.Answer { return e.receive(v, r, h).Accepted(e.options.WriteTimeout) }
+		answered := func(r *http.Request) answer.Answer {
+			return e.receive(v, r, h).WithWriteTimeout(e.options.WriteTimeout)
+		}
 		answer.Handler(answered).ServeHTTP(w, r)
 	})
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -105,7 +105,7 @@
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(memoryLimitRatio * float64(s.MemoryLimit())))
-	log := telemetry.NewBoundedLogger(s.Instance, droppedLines)
+	log := telemetry.NewSampledLogger(s.Instance, droppedLines)
 	defer func() { _ = log.Sync() }()
 	p := &process{platform: platform, settings: s, log: log}
 	log.Info("start", zap.String("role", role), zap.Strings("seeds", s.Seeds), zap.Bool("bootstrap", s.Bootstrap), zap.String("dataFolder", s.DataFolder))
@@ -131,7 +131,7 @@
 			Name: p.settings.Instance, Address: peerAddress, DataCentre: p.settings.DataCentre,
 			Entry: role == RoleEntry, Disk: p.settings.DataFolder != "", Started: time.Now().UnixNano(),
 		},
-		Seeds: p.peerSeeds(p.settings.Seeds), Bootstrap: p.settings.Bootstrap, Folder: p.settings.DataFolder, Losses: p.settings.ToleratedLosses,
+		Seeds: p.peerSeeds(p.settings.Seeds), Bootstrap: p.settings.Bootstrap, Folder: p.settings.DataFolder, ToleratedLosses: p.settings.ToleratedLosses,
 	}, documents, p.log)
 	handlers := p.mesh.Handlers()
 	switch role {
@@ -197,7 +197,7 @@
 	p.gateway = gateway.New(gateway.Options{
 		DataCentre: p.settings.DataCentre, AgentPort: strconv.Itoa(p.port(RoleAgent)),
 		RepeatRatio: p.settings.RepeatRatio, RepeatSlack: p.settings.RepeatSlack, RepeatWindow: p.settings.RepeatWindow(),
-		Heartbeat: p.settings.Heartbeat(), StopWithin: p.settings.StopTimeout() - stopMargin, Newest: p.mesh.Newest,
+		Heartbeat: p.settings.Heartbeat(), StopTimeout: p.settings.StopTimeout() - stopMargin, Newest: p.mesh.Newest,
 	}, p.platform.Edge, p.mesh, p.log)
 	p.goroutines.Go(func() { p.gateway.Run(ctx) })
 	ready := http.NewServeMux()
@@ -272,7 +272,7 @@
 		p.log.Warn("the settings cannot be read; keeping the previous ones", telemetry.Cause(err))
 		return
 	}
-	p.mesh.SetSeeds(p.peerSeeds(s.Seeds))
+	p.mesh.AddSeeds(p.peerSeeds(s.Seeds))
 }
 
 // leadershipTransferTimeout bounds the transfer of leadership in the replicated log.
--- a/internal/follow/config.go
+++ b/internal/follow/config.go
@@ -99,7 +99,7 @@
 		return
 	}
 	now := time.Now()
-	maps.DeleteFunc(c.suspects, func(_ suspicion.Fingerprint, r suspicion.Record) bool { return !r.Held(now) })
+	maps.DeleteFunc(c.suspects, func(_ suspicion.Fingerprint, r suspicion.Record) bool { return !r.Restricted(now) })
 }
 
 // Suspect reports whether the request with this fingerprint is a suspect: it was at a backend
@@ -108,7 +108,7 @@
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	r, known := c.suspects[fingerprint]
-	return known && r.Held(now)
+	return known && r.Restricted(now)
 }
 
 func (c *Config) putContract(next contract.Contract) {
--- a/internal/follow/probe.go
+++ b/internal/follow/probe.go
@@ -27,7 +27,7 @@
 
 // probeBackoff is the backoff of probes that bring no proof. Polls continue in the meantime,
 // and a control instance that is available again brings a proof with its first answer.
-var probeBackoff = backoff.Options{First: probeInterval, Most: 4 * time.Second}
+var probeBackoff = backoff.Options{Initial: probeInterval, Max: 4 * time.Second}
 
 var probeCount = telemetry.Counter("follow_probes")
 
@@ -80,17 +80,17 @@
 // probeLoop probes whenever a probe is due, with a growing pause while probes bring no proof:
 // all daemons ask the same few control instances.
 func (f *Follower) probeLoop(ctx context.Context, probe func()) {
-	var failures backoff.Trouble
+	var failures backoff.Outage
 	pause := probeInterval
 	for wait.For(ctx, pause) == nil {
 		pause = probeInterval
 		if !f.probeDue() {
-			failures.Over()
+			failures.Succeeded()
 			continue
 		}
 		probe()
 		if f.Freshness().MayAdmit() {
-			failures.Over()
+			failures.Succeeded()
 			continue
 		}
 		pause = probeBackoff.Pause(failures.Failed(time.Now()), 0, rand.Float64())
--- a/internal/gateway/agents.go
+++ b/internal/gateway/agents.go
@@ -96,12 +96,12 @@
 
 // watchBackoff is the backoff after a failed watch. The pause that follows from the agent's
 // share of the watch rate is the lower limit.
-var watchBackoff = backoff.Options{First: 100 * time.Millisecond, Most: 2 * time.Second}
+var watchBackoff = backoff.Options{Initial: 100 * time.Millisecond, Max: 2 * time.Second}
 
 func (a *agentClient) run(ctx context.Context) {
 	defer a.client.Close()
 	var known wire.EngineState
-	var failures backoff.Trouble
+	var failures backoff.Outage
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, watchTimeout)
 		var state wire.EngineState
@@ -113,7 +113,7 @@
 		if err != nil {
 			state, pause = wire.EngineState{}, retryPause(pause, failures.Failed(time.Now()), rand.Float64())
 		} else {
-			failures.Over()
+			failures.Succeeded()
 			if state.HeldChange == known.HeldChange {
 				state.Held, state.Stale = known.Held, known.Stale
 			}
@@ -140,7 +140,7 @@
 	case state.Known && len(state.Models) == 0:
 		a.held = dispatch.Held{}
 	case state.Known && state.HeldChange != a.state.HeldChange:
-		a.held.Take(state.Held)
+		a.held.Update(state.Held)
 	}
 	a.state, a.sentStarts = state, startCounts{since: time.Now()}
 }
@@ -160,7 +160,7 @@
 func (a *agentClient) likelyCached(adapter string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.held.Near(adapter)
+	return a.held.Recent(adapter)
 }
 
 func (a *agentClient) snapshot() (wire.EngineState, startCounts) {
@@ -205,7 +205,7 @@
 	}()
 	select {
 	case got := <-done:
-		if got.err != nil && !rpc.Answered(got.err) {
+		if got.err != nil && !rpc.IsPeerError(got.err) {
 			// The start may have been granted and would occupy a slot for a request that goes
 			// to another server.
 			a.notifyDone(r.ID, r.Try)
--- a/internal/gateway/durations.go
+++ b/internal/gateway/durations.go
@@ -10,14 +10,16 @@
 // durations records how long the streams of each route take.
 type durations struct {
 	mu      sync.Mutex
-	byRoute map[string]*dispatch.Usual
+	byRoute map[string]*dispatch.DurationEstimate
 }
 
 // maxDurationRoutes limits the number of recorded routes. When it is reached, all records are
 // discarded and learned again.
 const maxDurationRoutes = 512
 
-func newDurations() *durations { return &durations{byRoute: make(map[string]*dispatch.Usual)} }
+func newDurations() *durations {
+	return &durations{byRoute: make(map[string]*dispatch.DurationEstimate)}
+}
 
 func (d *durations) record(route string, took time.Duration) {
 	d.mu.Lock()
@@ -27,7 +29,7 @@
 		if len(d.byRoute) >= maxDurationRoutes {
 			clear(d.byRoute)
 		}
-		usual = &dispatch.Usual{}
+		usual = &dispatch.DurationEstimate{}
 		d.byRoute[route] = usual
 	}
 	usual.Add(took)
@@ -38,7 +40,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if usual := d.byRoute[route]; usual != nil {
-		return usual.Most()
+		return usual.UpperBound()
 	}
 	return 0
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -99,8 +99,8 @@
 	RepeatWindow time.Duration
 	// Heartbeat is the interval between two announcements of a server.
 	Heartbeat time.Duration
-	// StopWithin is the maximum duration of a planned stop.
-	StopWithin time.Duration
+	// StopTimeout is the maximum duration of a planned stop.
+	StopTimeout time.Duration
 	// Newest reports whether every change of the configuration that was acknowledged before the
 	// call is in force here. It is nil where changes are not made elsewhere.
 	Newest func(context.Context) bool
@@ -176,7 +176,7 @@
 	arrived := time.Now()
 	requestCount.Add(1)
 	if g.stopping.Load() != 0 {
-		return g.route(r, arrived).Closing()
+		return g.route(r, arrived).WithConnectionClose()
 	}
 	return g.route(r, arrived)
 }
@@ -267,11 +267,11 @@
 		// The caller aborted its own request.
 		return answer.Answer{}, false
 	case int64(len(body)) > limit && !(g.confirmNewest(r.Context()) && g.mesh.Documents().Current().Table.Bounds().BodyBytes <= limit):
-		return g.refuse(call, reasonStaleConfig, minRetryAfter).Closing(), false
+		return g.refuse(call, reasonStaleConfig, minRetryAfter).WithConnectionClose(), false
 	case int64(len(body)) > limit:
 		// On a connection that stays open, the answer would be delayed until the rest of the
 		// body is read.
-		return answer.Text(http.StatusRequestEntityTooLarge, g.ownHeader(call), "the body is larger than the configuration allows").Closing(), false
+		return answer.Text(http.StatusRequestEntityTooLarge, g.ownHeader(call), "the body is larger than the configuration allows").WithConnectionClose(), false
 	}
 	call.Body = body
 	return answer.Answer{}, true
@@ -330,7 +330,7 @@
 }
 
 // Stop begins a planned stop: from now on answers ask callers to reconnect.
-func (g *Gateway) Stop() { g.stopping.Store(time.Now().Add(g.options.StopWithin).UnixNano()) }
+func (g *Gateway) Stop() { g.stopping.Store(time.Now().Add(g.options.StopTimeout).UnixNano()) }
 
 // Ready reports whether the load balancer should send callers here.
 func (g *Gateway) Ready() bool {
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -91,7 +91,7 @@
 	r.response.Release()
 	x.status = r.response.Status
 	x.recordAnswer(r.server, r.response.Status)
-	return answer.Whole(r.response.Status, r.header(), body), stepDone
+	return answer.Full(r.response.Status, r.header(), body), stepDone
 }
 
 // openStream waits for the first events: until then the stream of another server can take the
--- a/internal/gateway/release_test.go
+++ b/internal/gateway/release_test.go
@@ -68,7 +68,7 @@
 	}, zap.NewNop())
 	m := mesh.New(mesh.Options{Self: mesh.Process{Name: "entry", Address: "127.0.0.1:1", Entry: true, Started: 1}}, documents, zap.NewNop())
 	g := New(Options{AgentPort: "1", RepeatRatio: 0.2, RepeatSlack: 20}, plainEdge{}, m, zap.NewNop())
-	documents.Take(document.State{Index: 1, Version: 1, Body: []byte("{}")}, "test")
+	documents.Apply(document.State{Index: 1, Version: 1, Body: []byte("{}")}, "test")
 	documents.Confirm()
 	var asked atomic.Int64
 	for i := range 4 {
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -118,7 +118,7 @@
 
 // mayRetry reports whether a request that may have run can be sent again.
 func (x *exchange) mayRetry() bool {
-	fate := retry.Fate{Outcome: outcome.Unknown, Idempotent: x.route.Idempotent(), Attempts: x.runs, Most: max(x.route.Attempts, 1)}
+	fate := retry.Failure{Outcome: outcome.Unknown, Idempotent: x.route.Idempotent(), Attempts: x.runs, MaxAttempts: max(x.route.Attempts, 1)}
 	return fate.Refusal() == retry.ReasonNone
 }
 
@@ -131,7 +131,7 @@
 			h.Failed(time.Now())
 		}
 	})
-	if verdict.Misdirected && x.mesh.Doubt(v.entry.ID) {
+	if verdict.Misdirected && x.mesh.DropDiskOnly(v.entry.ID) {
 		x.tries--
 	}
 	x.log.Info("backend server did not run a request", zap.String("request", x.call.ID), zap.String("server", v.entry.ID),
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -140,10 +140,10 @@
 func (s *servers) candidate(v *server, service *route.Service, r *dispatch.Request, model string, now time.Time) dispatch.Candidate {
 	c := dispatch.Candidate{
 		ID: v.entry.ID, DataCentre: v.entry.DataCentre, Batch: v.entry.Slots, Running: v.inflight, Residence: dispatch.Resident, Model: true,
-		Answer: v.health.Answer(), FailureShare: v.health.FailureShare(now), Barred: v.health.Barred(now),
-		Cold: time.Duration(v.entry.ColdMillis)*time.Millisecond - now.Sub(v.entry.Heard),
+		Answer: v.health.Answer(), FailureShare: v.health.FailureShare(now), InBackoff: v.health.InBackoff(now),
+		WarmUp: time.Duration(v.entry.ColdMillis)*time.Millisecond - now.Sub(v.entry.Heard),
 	}
-	c.Cold = max(c.Cold, 0)
+	c.WarmUp = max(c.WarmUp, 0)
 	if service.Engine == nil {
 		if now.Sub(v.loadAt) < maxLoadAge {
 			c.Running = max(c.Running, v.running)
@@ -163,7 +163,7 @@
 	c.Model = holds(state.Models, model) && !state.Leaving
 	c.Residence = residence(&state, r.Adapter)
 	if c.Residence == dispatch.Absent && v.agent.likelyCached(r.Adapter) {
-		c.Residence = dispatch.Near
+		c.Residence = dispatch.RecentlyHeld
 	}
 	return c
 }
--- a/internal/gateway/stale_config_test.go
+++ b/internal/gateway/stale_config_test.go
@@ -30,7 +30,7 @@
 func newStaleGateway(t *testing.T, newest func(*mesh.Documents) bool) *Gateway {
 	t.Helper()
 	documents := mesh.NewDocuments(decodeRoute, zap.NewNop())
-	documents.Take(document.State{Index: 1, Version: 1, Body: []byte("/old/")}, "test")
+	documents.Apply(document.State{Index: 1, Version: 1, Body: []byte("/old/")}, "test")
 	documents.Confirm()
 	m := mesh.New(mesh.Options{Self: mesh.Process{Address: "127.0.0.1:1", Entry: true}}, documents, zap.NewNop())
 	return New(Options{Newest: func(context.Context) bool { return newest(documents) }}, patienceEdge{}, m, zap.NewNop())
@@ -48,10 +48,10 @@
 		reason           string
 	}{
 		{"no route, newest not confirmed", "/added-route/x", "", func(*mesh.Documents) bool { return false }, http.StatusServiceUnavailable, reasonStaleConfig},
-		{"no route, newer configuration has it", "/added-route/x", "", func(d *mesh.Documents) bool { d.Take(newer, "test"); return true }, http.StatusServiceUnavailable, "no backend server"},
+		{"no route, newer configuration has it", "/added-route/x", "", func(d *mesh.Documents) bool { d.Apply(newer, "test"); return true }, http.StatusServiceUnavailable, "no backend server"},
 		{"no route in the newest configuration", "/never/x", "", func(*mesh.Documents) bool { return true }, http.StatusNotFound, "no route"},
 		{"body too large, newest not confirmed", "/old/x", "123456", func(*mesh.Documents) bool { return false }, http.StatusServiceUnavailable, reasonStaleConfig},
-		{"body too large, newer configuration allows it", "/old/x", "123456", func(d *mesh.Documents) bool { d.Take(newer, "test"); return true }, http.StatusServiceUnavailable, reasonStaleConfig},
+		{"body too large, newer configuration allows it", "/old/x", "123456", func(d *mesh.Documents) bool { d.Apply(newer, "test"); return true }, http.StatusServiceUnavailable, reasonStaleConfig},
 		{"body too large for the newest configuration", "/old/x", "123456", func(*mesh.Documents) bool { return true }, http.StatusRequestEntityTooLarge, "larger"},
 	}
 	for _, test := range tests {
--- a/internal/gateway/startup_queue.go
+++ b/internal/gateway/startup_queue.go
@@ -32,7 +32,7 @@
 )
 
 func newStartupQueue(heartbeat time.Duration) *startupQueue {
-	return &startupQueue{options: startup.Options{Settle: settleHeartbeats * heartbeat, Most: startupQueueSize}, started: time.Now()}
+	return &startupQueue{options: startup.Options{Settle: settleHeartbeats * heartbeat, MaxWaiting: startupQueueSize}, started: time.Now()}
 }
 
 // await returns true as soon as ready does, and false when the request is to be refused. A
--- a/internal/gateway/startup_queue_test.go
+++ b/internal/gateway/startup_queue_test.go
@@ -50,7 +50,7 @@
 		if w, took := serve(g, 600*time.Millisecond); w.Code != http.StatusServiceUnavailable || took != 200*time.Millisecond || w.Header().Get("Retry-After") == "" {
 			t.Errorf("without a configuration: got %d after %v", w.Code, took)
 		}
-		documents.Take(document.State{Index: 1, Version: 1, Body: []byte("{}")}, "test")
+		documents.Apply(document.State{Index: 1, Version: 1, Body: []byte("{}")}, "test")
 		if w, took := serve(g, 600*time.Millisecond); w.Code != http.StatusServiceUnavailable || took != 200*time.Millisecond {
 			t.Errorf("with an unconfirmed configuration: got %d after %v", w.Code, took)
 		}
--- a/internal/limiter/duty.go
+++ b/internal/limiter/duty.go
@@ -131,7 +131,7 @@
 func (d *duty) follow(now time.Time) {
 	for _, id := range d.holder.Contracts() {
 		if agreed, ok := d.contracts.Contract(id); ok {
-			d.perform(d.holder.Follow(now, agreed))
+			d.perform(d.holder.UpdateContract(now, agreed))
 		}
 	}
 }
@@ -140,7 +140,7 @@
 	if r.err != nil || !r.reply.Accepted {
 		lostCount.Add(1)
 		if r.err != nil {
-			d.holder.Lost()
+			d.holder.RenewalFailed()
 		} else {
 			d.holder.Reply(now, r.reply)
 		}
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -179,7 +179,7 @@
 // elsewhere. The caller must not be told that it reached a limit.
 func TestWithoutAnOwnerNoClauseIsBlamed(t *testing.T) {
 	s := startSite(t, sample(generous()))
-	held, err := loopback.Refuse()
+	held, err := loopback.NewRefuser()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/limiter/refusal.go
+++ b/internal/limiter/refusal.go
@@ -28,11 +28,11 @@
 func message(r quota.Refuse, limits contract.Limits) string {
 	limit := limitText(r.Clause, limits)
 	switch r.Cause {
-	case quota.CauseWaited:
+	case quota.CauseMaxWait:
 		return fmt.Sprintf("%s; the request waited %s, the contract's longest wait", limit, limits.MaxWait)
-	case quota.CauseCertain:
+	case quota.CauseMaxWaitCertain:
 		return fmt.Sprintf("%s; the wait would pass %s, the contract's longest wait", limit, limits.MaxWait)
-	case quota.CauseNever:
+	case quota.CauseExceedsContract:
 		return fmt.Sprintf("%s; the request alone asks for more", limit)
 	case quota.CauseQueueFull:
 		return fmt.Sprintf("%s; too many requests wait already", limit)
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -26,7 +26,7 @@
 
 // A held address refuses connections, and no other listener can bind to it.
 func TestRefuserRefusesConnections(t *testing.T) {
-	held, err := loopback.Refuse()
+	held, err := loopback.NewRefuser()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/loopback/refuse.go
+++ b/internal/loopback/refuse.go
@@ -15,8 +15,8 @@
 	address string
 }
 
-// Refuse binds a loopback address without listening on it.
-func Refuse() (*Refuser, error) {
+// NewRefuser binds a loopback address without listening on it.
+func NewRefuser() (*Refuser, error) {
 	socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, errors.Wrap(err, "open socket")
--- a/internal/mesh/config_writer.go
+++ b/internal/mesh/config_writer.go
@@ -117,5 +117,5 @@
 	if m.configWriter != nil {
 		m.configWriter.persist(state)
 	}
-	m.documents.Take(state, origin)
+	m.documents.Apply(state, origin)
 }
--- a/internal/mesh/confirm.go
+++ b/internal/mesh/confirm.go
@@ -37,11 +37,11 @@
 
 // proofBackoff paces rounds that found no proof, over all processes that ask the same few
 // members.
-var proofBackoff = backoff.Options{First: 30 * time.Millisecond, Most: 2 * time.Second, Rate: 500}
+var proofBackoff = backoff.Options{Initial: 30 * time.Millisecond, Max: 2 * time.Second, Rate: 500}
 
-// memberBackoff paces the rounds of a member of the log. memberBackoff.First also applies
+// memberBackoff paces the rounds of a member of the log. memberBackoff.Initial also applies
 // between rounds that succeed.
-var memberBackoff = backoff.Options{First: 30 * time.Millisecond, Most: 500 * time.Millisecond}
+var memberBackoff = backoff.Options{Initial: 30 * time.Millisecond, Max: 500 * time.Millisecond}
 
 // errUnproven means that nothing proves that the held configuration is not stale.
 var errUnproven = errors.New("no majority of the log has confirmed the configuration")
@@ -50,7 +50,7 @@
 // was acknowledged before the call. At a start, the state on the local disk or at the
 // first other process may be older than what was in force here a second ago.
 func (m *Mesh) confirmConfig(ctx context.Context) {
-	var failures backoff.Trouble
+	var failures backoff.Outage
 	for ctx.Err() == nil {
 		pausesBefore := m.pauses.count()
 		proven := m.newestWithin(ctx, 2*proofTimeout)
--- a/internal/mesh/documents.go
+++ b/internal/mesh/documents.go
@@ -67,8 +67,8 @@
 	originPull = "pulled from "
 )
 
-// Take puts a committed state in force if it is newer. origin names where it came from.
-func (d *Documents) Take(state document.State, origin string) {
+// Apply puts a committed state in force if it is newer. origin names where it came from.
+func (d *Documents) Apply(state document.State, origin string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	held := d.current.Load()
--- a/internal/mesh/fleet_test.go
+++ b/internal/mesh/fleet_test.go
@@ -78,7 +78,7 @@
 	f.t.Helper()
 	m := New(Options{
 		Self:  Process{Name: fmt.Sprint("p", i), Address: f.addresses[i], Entry: true, Disk: f.folders[i] != "", Started: time.Now().UnixNano()},
-		Seeds: f.addresses[:1], Bootstrap: bootstrap, Folder: f.folders[i], Losses: f.losses,
+		Seeds: f.addresses[:1], Bootstrap: bootstrap, Folder: f.folders[i], ToleratedLosses: f.losses,
 	}, NewDocuments(decode, zap.NewNop()), zap.NewNop())
 	if m.host != nil {
 		// A disk that is slow under other load must not count as hung.
--- a/internal/mesh/follow.go
+++ b/internal/mesh/follow.go
@@ -20,10 +20,10 @@
 
 var (
 	// pullBackoff paces pulls after a failure, or when the source is behind others.
-	pullBackoff = backoff.Options{First: 100 * time.Millisecond, Most: time.Second}
+	pullBackoff = backoff.Options{Initial: 100 * time.Millisecond, Max: time.Second}
 	// firstConfigBackoff paces pulls from processes that hold no configuration either:
 	// processes that restarted together ask each other.
-	firstConfigBackoff = backoff.Options{First: 30 * time.Millisecond, Most: time.Second}
+	firstConfigBackoff = backoff.Options{Initial: 30 * time.Millisecond, Max: time.Second}
 )
 
 func (m *Mesh) handlePull(ctx context.Context, in pullRequest) (pullReply, error) {
@@ -65,11 +65,11 @@
 // follow keeps the configuration up to date where there is no log: it follows one entry
 // at a time and switches to another as soon as one fails to answer.
 func (m *Mesh) follow(ctx context.Context) {
-	var failures backoff.Trouble
+	var failures backoff.Outage
 	for ctx.Err() == nil {
 		address, held := m.pickSource(), m.documents.Current().State.Index
 		if address != "" && m.followEntry(ctx, address, func() bool { return true }) || m.documents.Current().State.Index > held {
-			failures.Over()
+			failures.Succeeded()
 		}
 		retry := pullBackoff
 		if m.needsFirstConfig() {
@@ -153,7 +153,7 @@
 func (m *Mesh) pickSource() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	few := len(m.peers) < overlay.MostHubs
+	few := len(m.peers) < overlay.MaxHubs
 	best, bestScore := "", -1.0
 	now := time.Now()
 	for address, q := range m.peers {
--- a/internal/mesh/host.go
+++ b/internal/mesh/host.go
@@ -85,7 +85,7 @@
 	start := time.Now()
 	r, err := replica.Open(replica.Options{
 		Instance: h.mesh.options.Self.Name, Address: h.mesh.options.Self.Address, Folder: h.mesh.options.Folder,
-		Founders: h.founders, SnapshotEntries: snapshotEntries, SegmentBytes: segmentBytes, KeepCommit: true,
+		Founders: h.founders, SnapshotEntries: snapshotEntries, SegmentBytes: segmentBytes, PersistCommit: true,
 	}, sm, h.mesh.log)
 	if err != nil {
 		return err
@@ -147,7 +147,7 @@
 	defer m.mu.Unlock()
 	for _, seed := range m.options.Seeds {
 		if q := m.peers[seed]; seed != self.Address && (q == nil || q.lastHeard.IsZero()) {
-			view.SeedsSilent++
+			view.UnansweredSeeds++
 		}
 	}
 	for _, q := range m.peers {
@@ -156,7 +156,7 @@
 		}
 		// A process that is known but has not answered may have a disk.
 		if q.process.Started == 0 {
-			view.SeedsSilent++
+			view.UnansweredSeeds++
 			continue
 		}
 		view.Known = append(view.Known, processOf(q.process))
@@ -206,14 +206,14 @@
 func (sm *stateMachine) start(pulled document.State) {
 	sm.started = true
 	if pulled.Index > sm.state.State().Index {
-		sm.documents.Take(pulled, originDisk)
+		sm.documents.Apply(pulled, originDisk)
 	}
 	sm.publish()
 }
 
 func (sm *stateMachine) publish() {
 	if sm.started {
-		sm.documents.Take(sm.state.State(), originLog)
+		sm.documents.Apply(sm.state.State(), originLog)
 	}
 }
 
--- a/internal/mesh/members.go
+++ b/internal/mesh/members.go
@@ -55,7 +55,7 @@
 // members.
 func (h *logHost) membership(status replog.Status) founding.Membership {
 	m := h.mesh
-	view := founding.Membership{Self: string(status.ID), Cluster: status.Config.Cluster, Losses: m.options.Losses}
+	view := founding.Membership{Self: string(status.ID), Cluster: status.Config.Cluster, ToleratedLosses: m.options.ToleratedLosses}
 	caughtUp := make(map[replog.ID]bool, len(status.Members))
 	for _, s := range status.Members {
 		caughtUp[s.ID] = s.CaughtUp
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -34,8 +34,9 @@
 	Bootstrap bool
 	// Folder is the directory of the log; empty without a disk.
 	Folder string
-	// Losses is the number of machines with a disk that may be lost at the same time.
-	Losses int
+	// ToleratedLosses is the number of machines with a disk that may be lost at the same
+	// time.
+	ToleratedLosses int
 }
 
 // Intervals, timeouts and limits.
@@ -77,7 +78,7 @@
 
 // greetingBackoff paces retries of failed greetings. The longest pause is shorter than
 // reachableTimeout, so that a process that is back does not keep counting as unreachable.
-var greetingBackoff = backoff.Options{First: 300 * time.Millisecond, Most: 800 * time.Millisecond}
+var greetingBackoff = backoff.Options{Initial: 300 * time.Millisecond, Max: 800 * time.Millisecond}
 
 // Mesh is the local end of the mesh.
 type Mesh struct {
@@ -203,8 +204,8 @@
 	}
 }
 
-// SetSeeds adds seeds and greets them.
-func (m *Mesh) SetSeeds(seeds []string) {
+// AddSeeds adds seeds and greets them.
+func (m *Mesh) AddSeeds(seeds []string) {
 	for _, seed := range seeds {
 		m.addPeer(Process{Address: seed, Entry: true})
 	}
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -162,7 +162,7 @@
 // server leaves at a process that is not a hub; all processes must soon learn of it, and
 // must not forget a server of which they receive only heartbeats.
 func TestUpdatesReachAllThroughHubs(t *testing.T) {
-	const size = overlay.MostHubs + 6
+	const size = overlay.MaxHubs + 6
 	f := startFleet(t, 3, size-3)
 	spoke := -1
 	eventually(t, func() bool {
@@ -171,7 +171,7 @@
 			if reached != known || known == 0 || len(n.Known()) != size {
 				return false
 			}
-			if known < overlay.MostHubs-1 {
+			if known < overlay.MaxHubs-1 {
 				spoke = i
 			}
 		}
@@ -187,14 +187,14 @@
 		}
 	}
 	eventually(t, everywhere(func(n *node) bool { return n.MayServe("s") }))
-	beat := roster.Beat{ID: "s", Born: 1, Sequence: 1}
+	beat := roster.Heartbeat{ID: "s", Born: 1, Sequence: 1}
 	n := f.nodes[spoke]
 	eventually(t, func() bool {
 		// One heartbeat may be lost while hubs are being chosen again; servers keep
 		// sending them.
 		beat.Sequence++
 		n.mu.Lock()
-		n.roster.Hear(beat, time.Now())
+		n.roster.ApplyHeartbeat(beat, time.Now())
 		n.mu.Unlock()
 		return everywhere(func(n *node) bool {
 			e, known := n.Announced("s")
@@ -268,13 +268,13 @@
 
 func TestConfigNeverGoesBack(t *testing.T) {
 	d := NewDocuments(decode, zap.NewNop())
-	d.Take(document.State{Index: 5, Version: 2, Body: []byte(`{"Version":2}`)}, "test")
-	d.Take(document.State{Index: 4, Version: 1, Body: []byte(`{"Version":1}`)}, "test")
+	d.Apply(document.State{Index: 5, Version: 2, Body: []byte(`{"Version":2}`)}, "test")
+	d.Apply(document.State{Index: 4, Version: 1, Body: []byte(`{"Version":1}`)}, "test")
 	if got := d.Current(); got.State.Version != 2 || got.Table.Version() != 2 {
 		t.Errorf("configuration version in force = %d, want 2", got.State.Version)
 	}
 	// A newer state of the same version comes without its body.
-	d.Take(document.State{Index: 6, Version: 2, Adapters: map[string]int64{"m/a": 3}}, "test")
+	d.Apply(document.State{Index: 6, Version: 2, Adapters: map[string]int64{"m/a": 3}}, "test")
 	if got := d.Current(); got.State.Adapters["m/a"] != 3 || got.Table.Version() != 2 || got.State.Body == nil {
 		t.Errorf("configuration in force = %+v", got.State)
 	}
@@ -285,7 +285,7 @@
 func TestVersionZeroConfigReachesAll(t *testing.T) {
 	f := startFleet(t, 1, 1)
 	eventually(t, func() bool {
-		return f.nodes[0].Propose(t.Context(), document.Command{Name: &document.Name{Adapter: "m/a", Version: 3}}) == nil
+		return f.nodes[0].Propose(t.Context(), document.Command{AdapterVersion: &document.AdapterVersion{Adapter: "m/a", Version: 3}}) == nil
 	})
 	eventually(t, func() bool { return f.nodes[1].Documents().Current().State.Adapters["m/a"] == 3 })
 	f.put(0, 0)
--- a/internal/mesh/messages.go
+++ b/internal/mesh/messages.go
@@ -60,8 +60,8 @@
 	Cursor listCursor `json:"heard,omitzero"`
 	// Servers are backend servers with new announcements, Beats are heartbeats of servers
 	// that have not changed otherwise.
-	Servers []roster.Server `json:"servers,omitempty"`
-	Beats   []roster.Beat   `json:"beats,omitempty"`
+	Servers []roster.Server    `json:"servers,omitempty"`
+	Beats   []roster.Heartbeat `json:"beats,omitempty"`
 	// Strikes are new strikes against servers that crashed while running a request.
 	Strikes []suspicion.Strike `json:"strikes,omitempty"`
 	// Digest is the digest of the processes that the sender knows.
--- a/internal/mesh/peer.go
+++ b/internal/mesh/peer.go
@@ -90,7 +90,7 @@
 	defer q.close()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var failures backoff.Trouble
+	var failures backoff.Outage
 	for {
 		select {
 		case <-ctx.Done():
@@ -109,10 +109,10 @@
 			continue
 		}
 		pause := syncInterval
-		if err := q.greet(ctx, updates, backoff.Patience(syncTimeout, maxSyncTimeout, failures.Lasts(time.Now()))); err != nil {
+		if err := q.greet(ctx, updates, backoff.Timeout(syncTimeout, maxSyncTimeout, failures.Elapsed(time.Now()))); err != nil {
 			pause = greetingBackoff.Pause(failures.Failed(time.Now()), 0, rand.Float64())
 		} else {
-			failures.Over()
+			failures.Succeeded()
 			if updates.more {
 				q.wake()
 			}
@@ -241,7 +241,7 @@
 		case e.Material > q.acked:
 			p.Servers = append(p.Servers, e.Server)
 		case m.heardVia[e.ID] == viaDirect || q.spoke:
-			p.Beats = append(p.Beats, roster.Beat{ID: e.ID, Born: e.Born, Sequence: e.Sequence})
+			p.Beats = append(p.Beats, roster.Heartbeat{ID: e.ID, Born: e.Born, Sequence: e.Sequence})
 		}
 	}
 	if !p.more {
@@ -313,7 +313,7 @@
 	}
 	anyMaterial := false
 	for _, s := range in.Servers {
-		isNew, material := m.roster.Take(s, now)
+		isNew, material := m.roster.Apply(s, now)
 		if isNew {
 			m.heardVia[s.ID] = path
 			delete(m.diskOnly, s.ID)
@@ -322,7 +322,7 @@
 	}
 	for _, b := range in.Beats {
 		before, _ := m.roster.Get(b.ID)
-		if m.roster.Hear(b, now) {
+		if m.roster.ApplyHeartbeat(b, now) {
 			missing = append(missing, b.ID)
 			continue
 		}
@@ -368,7 +368,7 @@
 // mergeStrikes records strikes and queues new ones for forwarding. The caller holds mu.
 func (m *Mesh) mergeStrikes(from *peer, fromHub bool, strikes []suspicion.Strike, now time.Time) {
 	for _, strike := range strikes {
-		if !m.strikes.Take(strike, now) {
+		if !m.strikes.Add(strike, now) {
 			continue
 		}
 		for _, q := range m.relayTargets(from, fromHub, now) {
@@ -384,7 +384,7 @@
 func (m *Mesh) Held(fingerprint uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.strikes.Held(fingerprint, time.Now())
+	return m.strikes.Refused(fingerprint, time.Now())
 }
 
 // Ended reports whether a server is unknown, gone or has restarted.
@@ -404,7 +404,7 @@
 	}
 	now := time.Now()
 	m.mu.Lock()
-	_, material := m.roster.Take(s, now)
+	_, material := m.roster.Apply(s, now)
 	m.heardVia[s.ID] = viaDirect
 	delete(m.diskOnly, s.ID)
 	change := m.roster.Change()
--- a/internal/mesh/permits.go
+++ b/internal/mesh/permits.go
@@ -102,7 +102,7 @@
 	models := make([]modelplan.Model, 0, len(names))
 	for _, name := range names {
 		models = append(models, modelplan.Model{
-			Name: name, Demand: p.mesh.demandShare(name, names, now), Holders: holders[name], Near: slices.Contains(onDisk, name),
+			Name: name, Demand: p.mesh.demandShare(name, names, now), Holders: holders[name], OnDisk: slices.Contains(onDisk, name),
 		})
 	}
 	return models
@@ -173,7 +173,7 @@
 func (m *Mesh) NoteDemand(model string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.demand.Note(model, time.Now())
+	m.demand.Record(model, time.Now())
 }
 
 func (m *Mesh) demandShare(model string, models []string, now time.Time) float64 {
--- a/internal/mesh/prover.go
+++ b/internal/mesh/prover.go
@@ -44,7 +44,7 @@
 
 // run runs rounds until no caller is waiting.
 func (p *prover) run() {
-	var failures backoff.Trouble
+	var failures backoff.Outage
 	for {
 		p.mu.Lock()
 		waiters := p.waiters
@@ -61,7 +61,7 @@
 		}
 		failingFor := time.Duration(0)
 		if proven {
-			failures.Over()
+			failures.Succeeded()
 		} else {
 			failingFor = failures.Failed(start)
 		}
--- a/internal/mesh/restart_test.go
+++ b/internal/mesh/restart_test.go
@@ -68,12 +68,12 @@
 	if err := f.nodes[0].Announce(context.Background(), left); err != nil || f.nodes[0].MayServe(left.ID) {
 		t.Errorf("a late announcement restored a server that had left: err = %v", err)
 	}
-	if !f.nodes[0].Doubt(serving.ID) || len(f.nodes[0].Serving()) != 0 {
+	if !f.nodes[0].DropDiskOnly(serving.ID) || len(f.nodes[0].Serving()) != 0 {
 		t.Error("a doubted server is still listed")
 	}
 	serving.Sequence = 5
-	if err := f.nodes[0].Announce(context.Background(), serving); err != nil || f.nodes[0].Doubt(serving.ID) {
-		t.Errorf("Doubt dropped a server that has announced itself: err = %v", err)
+	if err := f.nodes[0].Announce(context.Background(), serving); err != nil || f.nodes[0].DropDiskOnly(serving.ID) {
+		t.Errorf("DropDiskOnly dropped a server that has announced itself: err = %v", err)
 	}
 }
 
--- a/internal/mesh/servers_file.go
+++ b/internal/mesh/servers_file.go
@@ -42,7 +42,7 @@
 	}
 	heardAt := now.Add(diskOnlyTimeout - silentRetention)
 	for _, s := range servers {
-		m.roster.Take(s, heardAt)
+		m.roster.Apply(s, heardAt)
 		m.heardVia[s.ID] = viaDirect
 		m.diskOnly[s.ID] = true
 	}
@@ -100,9 +100,9 @@
 	return os.Rename(path+".tmp", path)
 }
 
-// Doubt drops a server that is known only from the disk and did not answer as the
+// DropDiskOnly drops a server that is known only from the disk and did not answer as the
 // expected one, and reports whether it dropped it.
-func (m *Mesh) Doubt(id string) bool {
+func (m *Mesh) DropDiskOnly(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.diskOnly[id] {
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -17,13 +17,13 @@
 	doneEventBytes = 64
 )
 
-// ShownEnd returns a reader of an engine's response that ends with io.EOF only
+// VerifyEnd returns a reader of an engine's response that ends with io.EOF only
 // if the response is complete, and with io.ErrUnexpectedEOF otherwise. If the
 // response is framed, the reader is the body itself. A response delimited by the
 // close of its connection needs an explicit end, because the connection of an
 // engine that crashes is closed orderly as well: an event stream must end with
 // the event [DONE], any other response must be a JSON value of at most 8 MiB.
-func ShownEnd(response *http.Response, body io.Reader) io.Reader {
+func VerifyEnd(response *http.Response, body io.Reader) io.Reader {
 	framed := response.ContentLength >= 0 || slices.Contains(response.TransferEncoding, "chunked") || response.ProtoMajor != 1
 	switch {
 	case framed:
--- a/internal/replica/core.go
+++ b/internal/replica/core.go
@@ -118,7 +118,7 @@
 // handOut gives a Ready's snapshot or entries to the state machine, at once or
 // with the Ready's sync.
 func (c *core) handOut(ready replog.Ready, item applyItem) {
-	if c.options.KeepCommit && ready.NeedsSync() {
+	if c.options.PersistCommit && ready.NeedsSync() {
 		c.unsynced = append(c.unsynced, unsyncedApply{sequence: ready.Sequence, item: item})
 		return
 	}
--- a/internal/replica/enter.go
+++ b/internal/replica/enter.go
@@ -101,7 +101,7 @@
 // found makes the first configuration durable.
 func (r *Replica) found(members []replog.Member) {
 	config := replog.Config{Cluster: uuid.NewString(), Voters: members}
-	snapshot := replog.Founding(config, nil)
+	snapshot := replog.InitialSnapshot(config, nil)
 	hard := replog.HardState{Term: snapshot.Term}
 	if err := r.wal.Append(wal.Batch{HardState: &hard, Snapshot: &snapshot}); err != nil {
 		r.failed <- err
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -56,10 +56,10 @@
 	// ElectionTicks and HeartbeatTicks are those of the core.
 	ElectionTicks  int
 	HeartbeatTicks int
-	// KeepCommit applies an entry only once it is on disk that it is committed: a
+	// PersistCommit applies an entry only once it is on disk that it is committed: a
 	// restarted instance then begins with all that it had applied, and waits for
 	// no leader. It costs each change the time of another sync.
-	KeepCommit bool
+	PersistCommit bool
 	// SnapshotEntries is how many entries are applied between snapshots.
 	SnapshotEntries uint64
 	// SegmentBytes is the size at which a new file of the log begins.
@@ -196,12 +196,12 @@
 		}
 	}
 	r.node = replog.New(replog.Options{
-		ID:             r.self.ID,
-		ElectionTicks:  r.options.ElectionTicks,
-		HeartbeatTicks: r.options.HeartbeatTicks,
-		KeepCommit:     r.options.KeepCommit,
-		TellCommit:     r.options.KeepCommit,
-		Random:         rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		ID:              r.self.ID,
+		ElectionTicks:   r.options.ElectionTicks,
+		HeartbeatTicks:  r.options.HeartbeatTicks,
+		PersistCommit:   r.options.PersistCommit,
+		BroadcastCommit: r.options.PersistCommit,
+		Random:          rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}, restored)
 	if ready, ok := r.node.Ready(); ok {
 		if err := r.applyItem(applyItem{entries: ready.Committed}); err != nil {
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -68,9 +68,9 @@
 	return nil
 }
 
-// Answered reports whether a call's error was returned by the peer. After any other
+// IsPeerError reports whether a call's error was returned by the peer. After any other
 // error the peer may have executed the call.
-func Answered(err error) bool {
+func IsPeerError(err error) bool {
 	var rpcErr *jsonrpc2.Error
 	return errors.As(err, &rpcErr)
 }
@@ -149,7 +149,7 @@
 // silently broken, which only a new connection can show. On a connection with
 // incoming data, only this call is slow, and closing it would fail all other calls.
 func (c *Client) dropIfBroken(conn *link, start time.Time, err error) {
-	if Answered(err) || !disconnected(conn) && conn.activity.activeSince(start) {
+	if IsPeerError(err) || !disconnected(conn) && conn.activity.activeSince(start) {
 		return
 	}
 	c.mu.Lock()
--- a/internal/sidecar/calls.go
+++ b/internal/sidecar/calls.go
@@ -65,7 +65,7 @@
 	}
 	l.waiters[in.ID], l.tries[in.ID] = reply, in.Try
 	if in.Version > 0 {
-		l.perform(l.table.Named(in.Adapter, in.Version, now))
+		l.perform(l.table.VersionAnnounced(in.Adapter, in.Version, now))
 	}
 	parts := make([]residency.Part, 0, len(in.Parts))
 	for _, part := range in.Parts {
@@ -73,7 +73,7 @@
 	}
 	l.perform(l.table.Admit(residency.Request{
 		Parts: parts, Target: now.Add(time.Duration(in.TargetMillis) * time.Millisecond),
-		ID: in.ID, Adapter: in.Adapter, Rank: in.Rank, Prompt: in.Prompt, Tokens: in.Tokens, Latest: now.Add(time.Duration(in.WaitMillis) * time.Millisecond),
+		ID: in.ID, Adapter: in.Adapter, Rank: in.Rank, Prompt: in.Prompt, Tokens: in.Tokens, StartDeadline: now.Add(time.Duration(in.WaitMillis) * time.Millisecond),
 	}, now))
 }
 
@@ -95,7 +95,7 @@
 func (s *Sidecar) done(_ context.Context, in wire.StartDone) (wire.Empty, error) {
 	return wire.Empty{}, s.submit(func(l *loop) {
 		if in.PauseMillis > 0 {
-			l.table.Paused(time.Duration(in.PauseMillis)*time.Millisecond, time.Duration(in.AllowedMillis)*time.Millisecond)
+			l.table.RecordPause(time.Duration(in.PauseMillis)*time.Millisecond, time.Duration(in.AllowedMillis)*time.Millisecond)
 		}
 		l.release(in.ID, in.Try)
 	})
@@ -105,7 +105,7 @@
 	now := time.Now()
 	return wire.Empty{}, s.submit(func(l *loop) {
 		if l.tries[in.ID] == in.Try {
-			l.table.Begun(in.ID, now)
+			l.table.FirstEvent(in.ID, now)
 		}
 	})
 }
--- a/internal/sidecar/engine.go
+++ b/internal/sidecar/engine.go
@@ -31,12 +31,12 @@
 	Models []string
 	// OnDisk are the base models of which the engine keeps a copy on disk.
 	OnDisk []string
-	// Adapters are the adapters held, as model/adapter, with their versions; Coming are those
+	// Adapters are the adapters held, as model/adapter, with their versions; Loading are those
 	// being loaded.
 	Adapters map[string]int64
-	Coming   map[string]int64
-	// Runs are the IDs of the running requests.
-	Runs []string
+	Loading  map[string]int64
+	// RunningIDs are the IDs of the running requests.
+	RunningIDs []string
 	// Running and Waiting count requests; Used and Total are memory in tokens.
 	Running int
 	Waiting int
--- a/internal/sidecar/orders.go
+++ b/internal/sidecar/orders.go
@@ -60,11 +60,11 @@
 // permitBackoff is the backoff of permit requests that are not granted. Engines that have lost
 // their models at the same time all ask the same leader, and the store serves them one after
 // the other.
-var permitBackoff = backoff.Options{First: idlePoll / 2, Most: 2 * time.Second}
+var permitBackoff = backoff.Options{Initial: idlePoll / 2, Max: 2 * time.Second}
 
 // orderBackoff is the backoff of an order that is not answered, measured from the start of one
 // try to the start of the next.
-var orderBackoff = backoff.Options{First: orderTimeout, Most: 500 * time.Millisecond}
+var orderBackoff = backoff.Options{Initial: orderTimeout, Max: 500 * time.Millisecond}
 
 // requestPermit requests a permit outside the event loop; the reply arrives through the queue
 // of calls.
@@ -120,7 +120,7 @@
 		zap.Int64("sequence", order.Sequence), zap.Uint8("result", uint8(r.result)), telemetry.Cause(r.err))
 	name := order.Model + "/" + order.Adapter
 	if r.result != OrderUnknown {
-		l.orderFailures.Over()
+		l.orderFailures.Succeeded()
 	}
 	switch r.result {
 	case OrderAccepted, OrderDone:
@@ -128,7 +128,7 @@
 			l.sequence++
 		}
 		if order.Load && r.result == OrderAccepted && order.Adapter != "" {
-			l.loads[name] = pendingLoad{at: now, cached: l.cached.Near(name)}
+			l.loads[name] = pendingLoad{at: now, cached: l.cached.Recent(name)}
 		}
 		if !order.Load && r.result == OrderDone {
 			l.perform(l.table.Unloaded(name, now))
@@ -142,7 +142,7 @@
 	case OrderFenced:
 		l.token += fenceStep
 	}
-	l.perform(l.table.Ordered(name, false, now))
+	l.perform(l.table.OrderAnswered(name, false, now))
 }
 
 // fenceStep raises the fencing number past one that an earlier run of this agent used under a
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -92,7 +92,7 @@
 	// unanswered is the order with an unknown outcome.
 	unanswered *Order
 	// orderFailures tracks how long orders have gone unanswered.
-	orderFailures backoff.Trouble
+	orderFailures backoff.Outage
 	// Reports and orders are sent outside the event loop, one of each at a time: an engine that
 	// does not answer must not delay the starts of requests.
 	reports      chan reportResult
@@ -190,7 +190,7 @@
 	l.configIndex = current.State.Index
 	l.setOptions(current.Table)
 	for adapter, version := range current.State.Adapters {
-		l.perform(l.table.Named(adapter, version, now))
+		l.perform(l.table.VersionAnnounced(adapter, version, now))
 	}
 }
 
@@ -200,7 +200,7 @@
 	if service != nil && service.Engine != nil {
 		l.service = service
 		l.table.SetOptions(residency.Options{
-			Places: service.Engine.AdapterSlots, Batch: service.Engine.Batch, MemoryTokens: service.Engine.MemoryTokens,
+			MaxAdapters: service.Engine.AdapterSlots, Batch: service.Engine.Batch, MemoryTokens: service.Engine.MemoryTokens,
 			Loads: maxConcurrentLoads, Queue: queuePerBatch * service.Engine.Batch, Grace: l.options.VersionGrace,
 		})
 	}
@@ -233,7 +233,7 @@
 	}
 	l.report, l.known = report, true
 	l.recordLoads(now)
-	l.cached.Take(slices.Collect(maps.Keys(report.Adapters)))
+	l.cached.Update(slices.Collect(maps.Keys(report.Adapters)))
 	l.dropEndedTries()
 	if !l.orderPending {
 		l.sequence = report.Sequence
@@ -241,11 +241,11 @@
 	if report.Leaving {
 		l.perform(l.table.Leave())
 	}
-	runs := make(map[string]bool, len(report.Runs))
-	for _, id := range report.Runs {
+	runs := make(map[string]bool, len(report.RunningIDs))
+	for _, id := range report.RunningIDs {
 		runs[id] = true
 	}
-	l.perform(l.table.Take(residency.Report{Held: report.Adapters, Coming: report.Coming, Runs: runs, Waiting: report.Waiting, Asked: r.sentAt}, now))
+	l.perform(l.table.Apply(residency.Report{Held: report.Adapters, Loading: report.Loading, Running: runs, Waiting: report.Waiting, RequestedAt: r.sentAt}, now))
 	l.ensureModel(ctx, now)
 }
 
@@ -264,7 +264,7 @@
 			l.loadTime += time.Duration(loadTimeWeight * float64(took-l.loadTime))
 		}
 		loadLatency.Record(took)
-		l.log.Info("adapter loaded", zap.String("adapter", name), zap.Duration("took", took), zap.Bool("near", load.cached), zap.Int("coming", len(l.report.Coming)), zap.Int("waiting", l.table.Waiting()))
+		l.log.Info("adapter loaded", zap.String("adapter", name), zap.Duration("took", took), zap.Bool("near", load.cached), zap.Int("coming", len(l.report.Loading)), zap.Int("waiting", l.table.Waiting()))
 	}
 }
 
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -66,7 +66,7 @@
 		e.mu.Lock()
 		return Report{}, ctx.Err()
 	}
-	return Report{Born: e.born, Sequence: e.sequence, Models: e.models, OnDisk: e.onDisk, Adapters: maps.Clone(e.adapters), Coming: maps.Clone(e.coming)}, nil
+	return Report{Born: e.born, Sequence: e.sequence, Models: e.models, OnDisk: e.onDisk, Adapters: maps.Clone(e.adapters), Loading: maps.Clone(e.coming)}, nil
 }
 
 func (e *fakeEngine) Order(ctx context.Context, o Order) (OrderResult, error) {
@@ -162,7 +162,7 @@
 			}}}}, nil
 		}
 		documents := mesh.NewDocuments(decode, zap.NewNop())
-		documents.Take(document.State{Index: 1, Version: 1, Body: []byte("{}")}, "test")
+		documents.Apply(document.State{Index: 1, Version: 1, Body: []byte("{}")}, "test")
 		options.Name, options.Service, options.VersionGrace = "agent", "llm", time.Second
 		s := New(options, e, documents, zap.NewNop())
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/telemetry/logger.go
+++ b/internal/telemetry/logger.go
@@ -13,10 +13,10 @@
 // logging during an overload must not use more CPU time than the requests.
 const logBurst = 30
 
-// NewBoundedLogger returns a logger that writes JSON lines to standard output, at
+// NewSampledLogger returns a logger that writes JSON lines to standard output, at
 // most logBurst per second with the same message; dropped counts the others.
 // Logging never blocks on the reader of the output.
-func NewBoundedLogger(instance string, dropped *expvar.Int) *zap.Logger {
+func NewSampledLogger(instance string, dropped *expvar.Int) *zap.Logger {
 	encoder := zap.NewProductionEncoderConfig()
 	encoder.EncodeDuration = zapcore.MillisDurationEncoder
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoder), newLineWriter(os.Stdout, dropped), zap.InfoLevel)
--- a/internal/upstream/body_test.go
+++ b/internal/upstream/body_test.go
@@ -17,7 +17,7 @@
 		target, _ := startServer(t, response1)
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
-		_, _, body, err := NewPool(testTimeout).CallWhole(ctx, target, newRequest("r1"), limit)
+		_, _, body, err := NewPool(testTimeout).CallBuffered(ctx, target, newRequest("r1"), limit)
 		if (err == nil) != fits || fits && string(body) != "hello" || !fits && body != nil {
 			t.Errorf("limit %d bytes: got %q, %v", limit, body, err)
 		}
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -220,10 +220,10 @@
 // ErrTooLarge reports that a response exceeds the size limit of its reader.
 var ErrTooLarge = errors.New("response body exceeds the size limit")
 
-// CallWhole sends a request and reads the complete response. It returns
+// CallBuffered sends a request and reads the complete response. It returns
 // ErrTooLarge if the body has more than limit bytes: a truncated body would be
 // mistaken for a complete one.
-func (p *Pool) CallWhole(ctx context.Context, target Target, r *Request, limit int64) (status int, header http.Header, body []byte, err error) {
+func (p *Pool) CallBuffered(ctx context.Context, target Target, r *Request, limit int64) (status int, header http.Header, body []byte, err error) {
 	response, err := p.Call(ctx, target, r)
 	if err != nil {
 		return 0, nil, nil, err
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -74,7 +74,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	status, _, data, err := pool.CallWhole(ctx, target, newRequest(id), 1<<20)
+	status, _, data, err := pool.CallBuffered(ctx, target, newRequest(id), 1<<20)
 	return status, string(data), err
 }
 
