--- a/internal/control/advice.go
+++ b/internal/control/advice.go
@@ -10,23 +10,24 @@
 	"github.com/rosemarypass/rosemarypass/coord/placement"
 )
 
-// adviceInterval is the time between two looks at the demand.
+// adviceInterval is the time between two observations of the demand.
 const adviceInterval = 5 * time.Second
 
-// adviceDuty watches the demand on backend servers for the operators' advice.
-// It begins anew when the instance restarts, and says for how long it has watched.
-type adviceDuty struct {
+// adviceMonitor observes the demand on backend servers and derives the advice for
+// operators from it. Observations are lost when the instance restarts; the advice
+// includes the period that it covers.
+type adviceMonitor struct {
 	servers func() []membership.Announcement
 
 	mu      sync.Mutex
 	advisor *placement.Advisor
 }
 
-func newAdviceDuty(servers func() []membership.Announcement) *adviceDuty {
-	return &adviceDuty{servers: servers, advisor: placement.NewAdvisor()}
+func newAdviceMonitor(servers func() []membership.Announcement) *adviceMonitor {
+	return &adviceMonitor{servers: servers, advisor: placement.NewAdvisor()}
 }
 
-func (d *adviceDuty) run(ctx context.Context) {
+func (m *adviceMonitor) run(ctx context.Context) {
 	ticker := time.NewTicker(adviceInterval)
 	defer ticker.Stop()
 	for {
@@ -34,23 +35,23 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			d.observe(now)
+			m.observe(now)
 		}
 	}
 }
 
-func (d *adviceDuty) observe(now time.Time) {
-	announced := d.servers()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.advisor.Observe(announced, now)
+func (m *adviceMonitor) observe(now time.Time) {
+	announced := m.servers()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.advisor.Observe(announced, now)
 }
 
-func (d *adviceDuty) get(w http.ResponseWriter, _ *http.Request) {
+func (m *adviceMonitor) get(w http.ResponseWriter, _ *http.Request) {
 	now := time.Now()
-	d.observe(now)
-	d.mu.Lock()
-	advice := d.advisor.Advise(now)
-	d.mu.Unlock()
+	m.observe(now)
+	m.mu.Lock()
+	advice := m.advisor.Advise(now)
+	m.mu.Unlock()
 	writeJSON(w, http.StatusOK, advice)
 }
--- a/internal/control/advice_test.go
+++ b/internal/control/advice_test.go
@@ -9,7 +9,7 @@
 	"github.com/rosemarypass/rosemarypass/coord/placement"
 )
 
-func TestAdviceOverHTTPNamesTheServersToStop(t *testing.T) {
+func TestAdviceListsStoppableServers(t *testing.T) {
 	announced := make([]membership.Announcement, 0, 4)
 	for _, name := range []string{"a", "b", "c", "d"} {
 		announced = append(announced, membership.Announcement{
@@ -17,14 +17,14 @@
 			Load: membership.Load{Capacity: 16, Obtainable: 8},
 		})
 	}
-	duty := newAdviceDuty(func() []membership.Announcement { return announced })
+	monitor := newAdviceMonitor(func() []membership.Announcement { return announced })
 	recorder := httptest.NewRecorder()
-	duty.get(recorder, nil)
+	monitor.get(recorder, nil)
 	var advice []placement.Advice
 	if err := json.Unmarshal(recorder.Body.Bytes(), &advice); err != nil {
 		t.Fatal(err)
 	}
 	if len(advice) != 1 || advice[0].Servers != 4 || advice[0].Needed != 1 || len(advice[0].Stoppable) != 2 {
-		t.Errorf("%+v", advice)
+		t.Errorf("got advice %+v", advice)
 	}
 }
--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -8,17 +8,18 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// AnnouncePath is where backend servers without an agent announce themselves,
-// on the operators' address, with a key of their own.
+// AnnouncePath is the path on the operators' address at which backend servers
+// without an agent announce themselves. They use announce keys, not operator keys.
 const AnnouncePath = "/announce/v1/servers"
 
 var announceUnauthorizedCount = telemetry.Counter("control_announce_unauthorized")
 
-// announceOverHTTP takes an announcement from a plain service. It takes none of
-// an engine or agent: those come over the listener between processes, which
-// asks for a certificate, so that a service's key cannot draw model requests.
+// announceOverHTTP accepts an announcement from a plain service. Announcements of
+// engines and agents are rejected: they must arrive on the listener between
+// processes, which requires a client certificate. A leaked announce key therefore
+// cannot be used to attract model requests.
 func (c *Control) announceOverHTTP(w http.ResponseWriter, r *http.Request) {
-	if !knowsKey(c.options.AnnounceKeyHashes, bearer(r)) {
+	if !matchesKey(c.options.AnnounceKeyHashes, bearer(r)) {
 		announceUnauthorizedCount.Add(1)
 		writeError(w, http.StatusUnauthorized, "unknown announce key")
 		return
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -49,7 +49,7 @@
 	return n, err
 }
 
-// cpuTime is the processor time of this process, which holds both ends.
+// cpuTime returns the CPU time of this process, which runs both ends of the connections.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
@@ -65,8 +65,8 @@
 	}
 }
 
-// engine is a server with eight resident adapters, one of which changes in one
-// of ten rounds.
+// engine returns the announcement of a server with eight resident adapters, one of
+// which changes every ten rounds.
 func engine(i, round int) membership.Announcement {
 	a := membership.Announcement{
 		Server: fmt.Sprintf("dabke-llm-%03d", i), Kind: membership.KindEngine, Pool: "dabke-llm", DataCentre: fmt.Sprint("amman-", i%8),
@@ -86,8 +86,8 @@
 	return a
 }
 
-// BenchmarkInForce measures a change from its proposal until it is in force in
-// every daemon, with the bytes and the processor time of both ends.
+// BenchmarkInForce measures the time from the proposal of a change until it is in
+// force at every daemon, with the bytes and the CPU time of both ends.
 func BenchmarkInForce(b *testing.B) {
 	for _, daemons := range []int{1, 10, 100} {
 		b.Run(fmt.Sprint("daemons=", daemons), func(b *testing.B) {
@@ -102,7 +102,8 @@
 			bytes.Store(0)
 			cpu, changes := cpuTime(), 0
 			for b.Loop() {
-				// A change after a quiet time is shown at once; see Burst.
+				// The pause exceeds the batch interval, so that each change is
+				// published immediately. BenchmarkBurst measures batches.
 				b.StopTimer()
 				time.Sleep(60 * time.Millisecond)
 				b.StartTimer()
@@ -125,8 +126,8 @@
 	}
 }
 
-// BenchmarkBurst measures an import: many changes as fast as they are accepted,
-// until all are in force in every daemon.
+// BenchmarkBurst measures an import: many changes, proposed as fast as they are
+// accepted, until all are in force at every daemon.
 func BenchmarkBurst(b *testing.B) {
 	const daemons, changes = 20, 5_000
 	var bytes atomic.Int64
@@ -153,8 +154,8 @@
 	}
 }
 
-// BenchmarkAtRest measures what daemons cost while no change comes and every
-// server's load changes in every interval of a second.
+// BenchmarkAtRest measures the cost of daemons while the configuration does not change
+// and the load of every server changes once a second.
 func BenchmarkAtRest(b *testing.B) {
 	const daemons, rounds = 20, 5
 	for _, servers := range []int{0, 22, 600} {
@@ -171,23 +172,23 @@
 			for b.Loop() {
 				bytes.Store(0)
 				cpu, started := cpuTime(), time.Now()
-				var announcing time.Duration
+				var announceTime time.Duration
 				for round := range rounds {
 					before := cpuTime()
 					announceAll(b, c.members[0].control, servers, round+1)
-					announcing += cpuTime() - before
+					announceTime += cpuTime() - before
 					time.Sleep(time.Second)
 				}
 				seconds := time.Since(started).Seconds() * daemons
 				b.ReportMetric(float64(bytes.Load())/seconds, "B/s/daemon")
-				b.ReportMetric(float64((cpuTime()-cpu-announcing).Microseconds())/seconds, "cpu-µs/s/daemon")
+				b.ReportMetric(float64((cpuTime()-cpu-announceTime).Microseconds())/seconds, "cpu-µs/s/daemon")
 			}
 		})
 	}
 }
 
-// BenchmarkDirectoryDelta measures the packed delta when every load changed,
-// and the whole directory, at both ends.
+// BenchmarkDirectoryDelta measures packing and applying the delta after every load
+// has changed, and the whole directory.
 func BenchmarkDirectoryDelta(b *testing.B) {
 	now := time.Unix(1_000, 0)
 	for _, servers := range []int{22, 600} {
@@ -228,8 +229,8 @@
 	}
 }
 
-// BenchmarkAnnounce measures one announcement, at the control instance alone
-// and over a connection with the processor time of both ends.
+// BenchmarkAnnounce measures one announcement, in the control instance's handler and
+// over a connection with the CPU time of both ends.
 func BenchmarkAnnounce(b *testing.B) {
 	var bytes atomic.Int64
 	c := newCluster(b, 1, control.Options{ServerLease: time.Minute}, &bytes)
@@ -262,7 +263,8 @@
 	})
 }
 
-// seededControl returns a control instance with many adapters.
+// seededControl returns a cluster of one control instance with the given number of
+// adapters.
 func seededControl(b *testing.B, adapters int) *cluster {
 	c := newCluster(b, 1, control.Options{})
 	c.propose(0, putModel)
@@ -272,7 +274,8 @@
 	return c
 }
 
-// readSnapshot reads all pages into a copy and returns their bytes.
+// readSnapshot reads all pages of a snapshot into config and returns their total size
+// in bytes and their number.
 func readSnapshot(b *testing.B, c *cluster, config *follow.Config) (bytes, pages int) {
 	in := wire.Watch{Daemon: "d"}
 	for config.Index() == 0 {
@@ -291,8 +294,8 @@
 	return bytes, pages
 }
 
-// BenchmarkSnapshot measures a daemon's first copy: the pages' bytes, and the
-// time to build (first reader) and to read them.
+// BenchmarkSnapshot measures a daemon's initial copy: the size of the pages, the time
+// to build and read them (first reader) and the time to read them again.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, adapters := range []int{3_000, 130_000} {
 		b.Run(fmt.Sprint("adapters=", adapters), func(b *testing.B) {
@@ -310,7 +313,7 @@
 	}
 }
 
-// heapOf returns the live heap that build's value holds, in bytes.
+// heapOf returns the live heap that the value returned by build occupies, in bytes.
 func heapOf(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -322,8 +325,8 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// BenchmarkMemory measures the live heap for each object in an entry's copy and
-// in a control instance's state.
+// BenchmarkMemory measures the live heap per object in an entry's copy and in a
+// control instance's state.
 func BenchmarkMemory(b *testing.B) {
 	report := func(name string, count int, build func() any) {
 		b.Run(fmt.Sprintf("%s=%d", name, count), func(b *testing.B) {
@@ -386,7 +389,7 @@
 	})
 }
 
-// customer is a contract with two keys and a few clauses.
+// customer returns a contract with two keys and a few clauses.
 func customer(i int) contract.Contract {
 	return contract.Contract{
 		ID:        fmt.Sprintf("customer-%05d", i),
--- a/internal/control/claims.go
+++ b/internal/control/claims.go
@@ -16,8 +16,8 @@
 	suspicionCount   = telemetry.Counter("control_suspicions")
 )
 
-// claim commits an entry's command about a call that must run at most once. An
-// error says nothing about whether it was committed; the entry sends it again.
+// claim commits an entry's command about a call that must run at most once. After
+// an error it is unknown whether the command was committed; the entry resends it.
 func (c *Control) claim(ctx context.Context, in wire.Claim) (wire.ClaimReply, error) {
 	claimCount.Add(1)
 	result, err := c.Propose(ctx, state.Command{Claim: &in.Command})
--- a/internal/control/clock.go
+++ b/internal/control/clock.go
@@ -14,25 +14,27 @@
 )
 
 const (
-	// clockInterval is the time between two comparisons of the clocks.
+	// clockInterval is the time between two comparisons of the control instances' clocks.
 	clockInterval = 10 * time.Second
 	// maxClockAhead is how far an instance's clock may be ahead of the others
-	// before it proposes nothing more.
+	// before the instance stops proposing.
 	maxClockAhead = 5 * time.Second
 )
 
 var clockRefusedCount = telemetry.Counter("control_proposals_refused_clock")
 
-// clockGuard keeps an instance whose clock is ahead from proposing. The state's
-// clock is the highest proposer's time: one command from a clock that is a year
-// ahead would let every lease and operation id expire at once, and keep all
-// later ones from expiring for a year. Nobody would notice before calls ran
-// twice or the table of operation ids was full.
+// clockGuard prevents an instance whose clock is ahead from proposing. The state's
+// clock is the highest time of any proposer: one command from a clock that is a
+// year ahead would expire every lease and operation id at once, and keep all later
+// ones from expiring for a year. The fault would only show when calls ran twice or
+// the table of operation ids was full.
 type clockGuard struct {
 	mu    sync.Mutex
 	ahead time.Duration
 }
 
+// set records how far the clock is ahead and reports whether that crossed
+// maxClockAhead in either direction.
 func (g *clockGuard) set(ahead time.Duration) (crossed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -41,8 +43,8 @@
 	return crossed
 }
 
-// refuses reports whether the clock is too far ahead to propose, and by how much.
-func (g *clockGuard) refuses() (time.Duration, bool) {
+// check returns how far the clock is ahead and whether that is too far to propose.
+func (g *clockGuard) check() (time.Duration, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.ahead, g.ahead > maxClockAhead
@@ -54,7 +56,7 @@
 	for {
 		ahead := clockAhead(c.clockOffsets(ctx))
 		if c.clock.set(ahead) {
-			c.log.Warn("the clock's distance from the other control instances changed", zap.Duration("ahead", ahead))
+			c.log.Warn("clock offset from the other control instances crossed the limit", zap.Duration("ahead", ahead))
 		}
 		select {
 		case <-ctx.Done():
@@ -64,19 +66,19 @@
 	}
 }
 
-// clockOffsets returns how far the clocks of the instances that answer, this
-// one among them, are ahead of this one's.
+// clockOffsets returns how far the clock of each instance that answers, including
+// this one, is ahead of the local clock.
 func (c *Control) clockOffsets(ctx context.Context) []time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var offsets []time.Duration
-	var questions sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, address := range c.options.Peers {
-		questions.Go(func() {
+		wg.Go(func() {
 			client := rpc.NewClient(address, c.options.RPC...)
 			defer client.Close()
-			_, offset, err := askStanding(ctx, client)
+			_, offset, err := fetchStanding(ctx, client)
 			if err != nil {
 				return
 			}
@@ -85,25 +87,26 @@
 			offsets = append(offsets, offset)
 		})
 	}
-	questions.Wait()
+	wg.Wait()
 	return offsets
 }
 
-// askStanding also returns how far the other's clock is ahead of this one's,
-// taking the way there and back as equally long.
-func askStanding(ctx context.Context, client *rpc.Client) (wire.StandingReply, time.Duration, error) {
+// fetchStanding returns the standing of another instance and how far its clock is
+// ahead of the local clock, assuming that the call takes equally long in both
+// directions.
+func fetchStanding(ctx context.Context, client *rpc.Client) (wire.StandingReply, time.Duration, error) {
 	var reply wire.StandingReply
 	sent := time.Now()
 	if err := client.Call(ctx, wire.MethodStanding, wire.StandingRequest{}, &reply); err != nil {
 		return wire.StandingReply{}, 0, err
 	}
-	middle := sent.Add(time.Since(sent) / 2)
-	return reply, time.UnixMilli(reply.ClockMillis).Sub(middle).Round(time.Millisecond), nil
+	midpoint := sent.Add(time.Since(sent) / 2)
+	return reply, time.UnixMilli(reply.ClockMillis).Sub(midpoint).Round(time.Millisecond), nil
 }
 
-// clockAhead is how far this clock is ahead of the middle one. Of an even
-// number the middle nearer to this clock counts: of two clocks nobody knows
-// which is wrong.
+// clockAhead returns how far the local clock is ahead of the median. Of an even
+// number of clocks, the median nearer to the local clock is used, because with two
+// clocks it is impossible to tell which one is wrong.
 func clockAhead(offsets []time.Duration) time.Duration {
 	if len(offsets) == 0 {
 		return 0
--- a/internal/control/clock_test.go
+++ b/internal/control/clock_test.go
@@ -11,18 +11,18 @@
 	"github.com/rosemarypass/rosemarypass/coord/state"
 )
 
-func TestClockAheadIsMeasuredAgainstTheMiddle(t *testing.T) {
+func TestClockAheadOfMedian(t *testing.T) {
 	const year = 365 * 24 * time.Hour
 	cases := []struct {
 		name    string
 		offsets []time.Duration
 		want    time.Duration
 	}{
-		{"alone", []time.Duration{0}, 0},
-		{"nobody answers", nil, 0},
+		{"single instance", []time.Duration{0}, 0},
+		{"no answer", nil, 0},
 		{"own clock a year ahead", []time.Duration{0, -year, -year + time.Second}, year - time.Second},
-		{"another one a year ahead", []time.Duration{year, 0, time.Millisecond}, -time.Millisecond},
-		{"of two", []time.Duration{-year, 0}, 0},
+		{"other clock a year ahead", []time.Duration{year, 0, time.Millisecond}, -time.Millisecond},
+		{"two instances", []time.Duration{-year, 0}, 0},
 		{"own clock behind", []time.Duration{year, year, 0}, -year},
 	}
 	for _, c := range cases {
@@ -32,16 +32,17 @@
 	}
 }
 
-// An instance's clock is set a year ahead. A single change through it would let
-// every lease in the state expire at once, and none for a year after that.
-func TestInstanceWithAClockAheadAcceptsNothing(t *testing.T) {
+// One command from an instance whose clock is far ahead would expire every lease in
+// the state at once, and keep later leases from expiring until the other clocks have
+// caught up. Such an instance must refuse to propose.
+func TestProposeRefusedWithClockAhead(t *testing.T) {
 	c := New(Options{}, zap.NewNop())
 	c.clock.set(time.Hour)
 	if _, err := c.Propose(context.Background(), state.Command{}); !errors.Is(err, ErrNotAccepted) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want ErrNotAccepted", err)
 	}
 	c.clock.set(-time.Hour)
 	if _, err := c.Propose(context.Background(), state.Command{}); err != nil {
-		t.Errorf("a clock behind does no harm: %v", err)
+		t.Errorf("refused with the clock behind: %v", err)
 	}
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,5 +1,6 @@
-// Package control is the role on the few instances with a disk: it holds the
-// durable state, the directory of backend servers and the operators' interface.
+// Package control implements the control instances, the few instances with a disk.
+// They hold the durable state and the directory of backend servers, and serve the
+// operators' interface.
 package control
 
 import (
@@ -19,7 +20,7 @@
 
 // Options configure a control instance.
 type Options struct {
-	// Instance names this control instance.
+	// Instance is the name of this control instance.
 	Instance string
 	// Peers are the JSON-RPC addresses of all control instances.
 	Peers []string
@@ -27,19 +28,19 @@
 	ServerLease time.Duration
 	// LoadInterval is the time between publications of load reports.
 	LoadInterval time.Duration
-	// DaemonLease is how long a daemon counts as living after its last call.
+	// DaemonLease is how long a daemon is considered alive after its last call.
 	DaemonLease time.Duration
-	// MaxServers and MaxDaemons bound what strangers can make it remember.
+	// MaxServers and MaxDaemons bound the memory that unknown clients can occupy.
 	MaxServers int
 	MaxDaemons int
-	// AnnounceKeyHashes are hex SHA-256 digests of the keys by which plain
+	// AnnounceKeyHashes are hex SHA-256 digests of the keys with which plain
 	// services announce themselves over HTTP.
 	AnnounceKeyHashes []string
 	// OperatorKeyHashes are hex SHA-256 digests of operators' keys.
 	OperatorKeyHashes []string
-	// TailLength is how many changes are kept for daemons that fall behind.
+	// TailLength is the number of recent changes kept for daemons that fall behind.
 	TailLength int
-	// MessageBytes bounds the changes in one message to a daemon.
+	// MessageBytes bounds the size of the changes in one message to a daemon.
 	MessageBytes int
 	// RPC are the options of connections to the control instances.
 	RPC []rpc.ClientOption
@@ -75,18 +76,19 @@
 	clock   clockGuard
 	builder pageBuilder
 	members Membership
-	advice  *adviceDuty
+	advice  *adviceMonitor
 	quotas  *Quotas
 
-	mu        sync.Mutex
-	machine   *state.Machine
-	tail      tail
-	pages     *pages
-	showing   showing
-	directory *directoryFeed
-	daemons   *daemonTable
-	// confirmed is when a quorum last confirmed that every change accepted
-	// until then is in the machine, and confirmedIndex its index after that.
+	mu          sync.Mutex
+	machine     *state.Machine
+	tail        tail
+	pages       *pages
+	publication publication
+	directory   *directoryFeed
+	daemons     *daemonTable
+	// confirmed is the last time as of which a quorum confirmed that every change
+	// accepted by then is in the state machine, and confirmedIndex the machine's
+	// config index after that confirmation.
 	confirmed      time.Time
 	confirmedIndex uint64
 	// configChanged and directoryChanged are closed to wake waiting polls.
@@ -109,7 +111,7 @@
 		directoryChanged: make(chan struct{}),
 	}
 	c.durable = &localLog{control: c}
-	c.advice = newAdviceDuty(c.Servers)
+	c.advice = newAdviceMonitor(c.Servers)
 	return c
 }
 
@@ -127,17 +129,18 @@
 	}
 }
 
-// Run expires servers, publishes loads and seeks confirmations until ctx ends.
+// Run expires servers, publishes load reports, requests quorum confirmations,
+// compares clocks and observes demand until ctx ends.
 func (c *Control) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	duties.Go(func() { c.runDirectory(ctx) })
-	duties.Go(func() { c.runConfirmations(ctx) })
-	duties.Go(func() { c.runClockChecks(ctx) })
-	duties.Go(func() { c.advice.run(ctx) })
-	duties.Wait()
+	var wg sync.WaitGroup
+	wg.Go(func() { c.runDirectory(ctx) })
+	wg.Go(func() { c.runConfirmations(ctx) })
+	wg.Go(func() { c.runClockChecks(ctx) })
+	wg.Go(func() { c.advice.run(ctx) })
+	wg.Wait()
 }
 
-// Contract reads a contract.
+// Contract returns the contract with the given id.
 func (c *Control) Contract(id string) (contract.Contract, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,14 +154,14 @@
 	f(c.machine)
 }
 
-// Servers reads the directory.
+// Servers returns the announcements of the servers listed in the directory.
 func (c *Control) Servers() []membership.Announcement {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.directory.Live()
 }
 
-// wake wakes the polls that wait on a channel and returns its successor. The
+// wake closes a channel to wake the polls waiting on it and returns a new one. The
 // caller holds mu.
 func wake(waiting chan struct{}) chan struct{} {
 	close(waiting)
--- a/internal/control/daemons.go
+++ b/internal/control/daemons.go
@@ -9,8 +9,8 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// daemonTable knows the daemons that follow this instance and the index that
-// each has in force.
+// daemonTable records the daemons that follow this instance and the config index
+// that is in force at each of them.
 type daemonTable struct {
 	lease   time.Duration
 	limit   int
@@ -19,20 +19,21 @@
 
 type daemonRecord struct {
 	wire.Daemon
-	last time.Time
+	lastCall time.Time
 }
 
-// forgetAfter is how many leases a lost daemon stays listed for operators.
+// forgetAfter is how long a lost daemon stays listed for operators, as a multiple
+// of its lease.
 const forgetAfter = 12
 
-// lostMargin is the time that a poll may be on its way.
+// lostMargin is the time that a poll may spend in transit.
 const lostMargin = 2 * time.Second
 
 func newDaemonTable(lease time.Duration, limit int) *daemonTable {
 	return &daemonTable{lease: lease, limit: limit, records: make(map[string]daemonRecord)}
 }
 
-func (t *daemonTable) seen(in wire.Watch, now time.Time) {
+func (t *daemonTable) record(in wire.Watch, now time.Time) {
 	if _, known := t.records[in.Daemon]; !known && len(t.records) >= t.limit {
 		return
 	}
@@ -44,18 +45,19 @@
 			Freshness:   in.Freshness,
 			Lease:       in.Lease,
 		},
-		last: now,
+		lastCall: now,
 	}
 }
 
-// lostAfter is when a daemon that calls no more admits nothing any more: its
-// last proof may be as young as its last call.
+// lostAfter returns how long after its last call a daemon has certainly stopped
+// admitting. Its last proof of freshness may be as recent as that call.
 func (t *daemonTable) lostAfter(record daemonRecord) time.Duration {
 	return max(t.lease, record.Lease+lostMargin)
 }
 
-// longestLease is when the daemons of an instance that does not answer admit
-// nothing any more, as far as the leases are known here.
+// longestLease returns how long it takes until the daemons that follow an
+// unreachable instance have stopped admitting, judging by the leases known to this
+// instance.
 func (t *daemonTable) longestLease() time.Duration {
 	longest := t.lease
 	for _, record := range t.records {
@@ -64,11 +66,12 @@
 	return longest
 }
 
-// list returns the daemons by name and forgets those that are long lost.
+// list returns the daemons sorted by name and removes those that have been lost
+// for long.
 func (t *daemonTable) list(now time.Time) []wire.Daemon {
 	all := make([]wire.Daemon, 0, len(t.records))
 	for name, record := range t.records {
-		unseen := now.Sub(record.last)
+		unseen := now.Sub(record.lastCall)
 		if unseen > forgetAfter*t.lostAfter(record) {
 			delete(t.records, name)
 			continue
--- a/internal/control/directory.go
+++ b/internal/control/directory.go
@@ -19,11 +19,11 @@
 	directorySharedCount = telemetry.Counter("control_directory_deltas_shared")
 )
 
-// maxPackedDeltas bounds the deltas kept for daemons that stand at the same version.
+// maxPackedDeltas bounds the packed deltas kept for daemons that are at the same version.
 const maxPackedDeltas = 8
 
-// directoryFeed is the directory with the packed deltas that daemons asked for
-// last. Most daemons stand at the same version, so that a delta is packed once
+// directoryFeed is the directory with a cache of the packed deltas that daemons
+// requested last. Most daemons are at the same version, so a delta is packed once
 // and sent to all of them.
 type directoryFeed struct {
 	*membership.Directory
@@ -36,8 +36,8 @@
 }
 
 func newDirectoryFeed(options Options, now time.Time) *directoryFeed {
-	// The epoch is drawn from the clock, so that it differs from that of
-	// every other instance and of this one before its restart.
+	// The epoch is taken from the clock, so that it differs from the epochs of
+	// all other instances and from that of this instance before a restart.
 	epoch := uint64(now.UnixNano())
 	return &directoryFeed{Directory: membership.NewDirectory(membership.Options{
 		Lease:      options.ServerLease,
@@ -45,13 +45,12 @@
 	}, epoch, now)}
 }
 
-// delta returns the packed delta since a version. The caller holds the
-// control's mu.
+// delta returns the packed delta since a version. The caller holds Control.mu.
 func (f *directoryFeed) delta(epoch, since uint64, now time.Time) ([]byte, error) {
-	for _, known := range f.packed {
-		if known.epoch == epoch && known.since == since && known.version == f.Version() {
+	for _, cached := range f.packed {
+		if cached.epoch == epoch && cached.since == since && cached.version == f.Version() {
 			directorySharedCount.Add(1)
-			return known.data, nil
+			return cached.data, nil
 		}
 	}
 	data, err := wire.Pack(f.Delta(epoch, since, now))
@@ -90,7 +89,8 @@
 	}
 }
 
-// runDirectory expires servers often and publishes loads at their interval.
+// runDirectory expires servers every expiryInterval and publishes load reports
+// every LoadInterval.
 func (c *Control) runDirectory(ctx context.Context) {
 	expiry := time.NewTicker(expiryInterval)
 	defer expiry.Stop()
--- a/internal/control/feed.go
+++ b/internal/control/feed.go
@@ -19,7 +19,7 @@
 	tailSentCount = telemetry.Counter("control_changes_sent")
 )
 
-// tail holds the last changes for daemons that fall behind.
+// tail holds the most recent changes for daemons that fall behind.
 type tail struct {
 	limit   int
 	changes []tailChange
@@ -35,7 +35,7 @@
 func (t *tail) append(change state.Change) {
 	data, err := json.Marshal(change)
 	if err != nil {
-		panic("control: a change cannot be encoded: " + err.Error())
+		panic("control: cannot encode change: " + err.Error())
 	}
 	t.changes = append(t.changes, tailChange{Change: change, bytes: len(data)})
 	if excess := len(t.changes) - t.limit; excess > 0 {
@@ -44,14 +44,14 @@
 	}
 }
 
-// restart forgets the changes; daemons behind index need a snapshot.
-func (t *tail) restart(index uint64) {
+// reset discards the changes. Daemons behind index then need a snapshot.
+func (t *tail) reset(index uint64) {
 	t.changes, t.start = nil, index
 }
 
-// after returns the changes after an index and their size in bytes, or false
-// when the tail does not reach back that far.
-func (t *tail) after(index uint64) (changes []tailChange, bytes int, reaches bool) {
+// after returns the changes after an index and their size in bytes. covered is
+// false when the tail does not reach back to the index.
+func (t *tail) after(index uint64) (changes []tailChange, bytes int, covered bool) {
 	if index < t.start {
 		return nil, 0, false
 	}
@@ -64,7 +64,7 @@
 	return t.changes[from:], bytes, true
 }
 
-// watch answers a long poll.
+// watch answers a long poll for configuration and directory changes.
 func (c *Control) watch(ctx context.Context, in wire.Watch) (wire.WatchReply, error) {
 	watchCount.Add(1)
 	if err := checkWatch(in); err != nil {
@@ -78,15 +78,15 @@
 		if err := c.preparePages(in); err != nil {
 			return wire.WatchReply{}, err
 		}
-		reply, news, err := c.reply(in, arrived)
-		if err != nil || news.have {
+		reply, poll, err := c.buildReply(in, arrived)
+		if err != nil || poll.changed {
 			return reply, err
 		}
 		select {
-		case <-news.config:
-		case <-news.directory:
+		case <-poll.config:
+		case <-poll.directory:
 		case <-timer.C:
-			reply, _, err = c.reply(in, arrived)
+			reply, _, err = c.buildReply(in, arrived)
 			return reply, err
 		case <-ctx.Done():
 			return wire.WatchReply{}, ctx.Err()
@@ -94,7 +94,8 @@
 	}
 }
 
-// Bounds of what a daemon says of itself; control remembers it for each.
+// Bounds on what a daemon reports about itself, which is kept in memory for every
+// daemon.
 const (
 	maxDaemonName = 256
 	maxReason     = 256
@@ -111,43 +112,44 @@
 	return nil
 }
 
-// news says whether a reply holds any, or else what to wait for.
-type news struct {
-	have              bool
+// pollState holds whether a reply contains changes and, if it does not, the channels
+// whose closing ends the wait.
+type pollState struct {
+	changed           bool
 	config, directory <-chan struct{}
 }
 
-func (c *Control) reply(in wire.Watch, arrived time.Time) (wire.WatchReply, news, error) {
+func (c *Control) buildReply(in wire.Watch, arrived time.Time) (wire.WatchReply, pollState, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.daemons.seen(in, time.Now())
+	c.daemons.record(in, time.Now())
 	reply := wire.WatchReply{ConfigIndex: in.ConfigIndex, Standing: c.standing(arrived)}
-	more := news{config: c.configChanged}
+	poll := pollState{config: c.configChanged}
 	if err := c.addConfig(&reply, in); err != nil {
-		return reply, more, err
+		return reply, poll, err
 	}
-	more.have = reply.ConfigIndex > in.ConfigIndex || reply.Snapshot != nil
+	poll.changed = reply.ConfigIndex > in.ConfigIndex || reply.Snapshot != nil
 	if in.Scope == wire.ScopeServer {
-		return reply, more, nil
+		return reply, poll, nil
 	}
-	more.directory = c.directoryChanged
+	poll.directory = c.directoryChanged
 	if in.DirectoryEpoch == c.directory.Epoch() && in.DirectoryVersion == c.directory.Version() {
-		return reply, more, nil
+		return reply, poll, nil
 	}
 	data, err := c.directory.delta(in.DirectoryEpoch, in.DirectoryVersion, time.Now())
-	reply.Directory, more.have = data, true
-	return reply, more, err
+	reply.Directory, poll.changed = data, true
+	return reply, poll, err
 }
 
-// addConfig adds what brings the daemon further: the tail or a page of a
-// snapshot, whichever is less. A daemon that is ahead of this instance gets
-// nothing.
+// addConfig adds either changes from the tail or a page of a snapshot, whichever
+// needs fewer bytes to bring the daemon up to date. A daemon that is ahead of this
+// instance gets nothing.
 func (c *Control) addConfig(reply *wire.WatchReply, in wire.Watch) error {
 	switch {
-	case in.ConfigIndex >= c.showing.visible:
+	case in.ConfigIndex >= c.publication.visible:
 	case in.Scope == wire.ScopeServer:
 		c.addServer(reply, in)
-	case c.wantsPages(in.ConfigIndex):
+	case c.prefersPages(in.ConfigIndex):
 		c.addPage(reply, in)
 	default:
 		changes, _, _ := c.tail.after(in.ConfigIndex)
@@ -156,10 +158,11 @@
 	return nil
 }
 
-// addServer tells an agent the wanted state of its own server. The agent
-// confirms every index, so that operators can wait for it too.
+// addServer adds the wanted state of an agent's own server. The agent confirms
+// every index, including those of other objects, so that operators can wait for
+// agents too.
 func (c *Control) addServer(reply *wire.WatchReply, in wire.Watch) {
-	reply.ConfigIndex = c.showing.visible
+	reply.ConfigIndex = c.publication.visible
 	if server, found := c.machine.Server(in.Server); found && server.Revision > in.ConfigIndex {
 		reply.Changes = []state.Change{{Index: server.Revision, Server: &server}}
 	}
--- a/internal/control/feed_test.go
+++ b/internal/control/feed_test.go
@@ -23,37 +23,38 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// sharedLog applies each command on every control instance that is connected.
-// It stands in for the replicated log.
+// sharedLog is a fake of the replicated log. It applies each command on every control
+// instance that is not isolated.
 type sharedLog struct {
 	members []*member
 	mu      sync.Mutex
 	index   uint64
-	// addresses are the members' addresses for daemons.
+	// addresses are the addresses at which daemons reach the members.
 	addresses []string
 }
 
-// member is one instance's end of the shared log.
+// member is the Log of one control instance, backed by the shared log.
 type member struct {
 	log     *sharedLog
 	control *control.Control
 	applied atomic.Uint64
-	// cut is true while the instance is silently cut off from the others.
-	cut atomic.Bool
-	// stop ends the instance's process: its machine refuses connections.
+	// isolated is true while the instance is isolated off from the other instances.
+	isolated atomic.Bool
+	// stop simulates the end of the instance's process: connections to it are
+	// refused.
 	stop func()
 }
 
 func (m *member) Propose(_ context.Context, data []byte) ([]byte, error) {
-	if m.cut.Load() {
-		return nil, errors.New("no answer of a quorum")
+	if m.isolated.Load() {
+		return nil, errors.New("no answer from a quorum")
 	}
 	m.log.mu.Lock()
 	defer m.log.mu.Unlock()
 	m.log.index++
 	var answer []byte
 	for _, other := range m.log.members {
-		if !other.cut.Load() {
+		if !other.isolated.Load() {
 			answer = other.control.Apply(m.log.index, data)
 			other.applied.Store(m.log.index)
 		}
@@ -62,7 +63,7 @@
 }
 
 func (m *member) Barrier(context.Context) error {
-	if m.cut.Load() {
+	if m.isolated.Load() {
 		return errors.New("no quorum")
 	}
 	return nil
@@ -80,7 +81,8 @@
 	peers   []string
 }
 
-// newCluster starts control instances; counters take the bytes of their traffic.
+// newCluster starts control instances. The counter, if there is one, counts the bytes
+// of their connections.
 func newCluster(t testing.TB, instances int, options control.Options, counters ...*atomic.Int64) *cluster {
 	c := &cluster{t: t}
 	shared := &sharedLog{}
@@ -160,13 +162,14 @@
 
 var putModel = state.Command{PutModel: &catalogue.Model{Name: "base"}}
 
-// eventually polls a condition; only its failure depends on time.
+// eventually polls a condition until it is true. Time only affects how long a failure
+// takes.
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(15 * time.Second)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatal("never came about: " + what)
+			t.Fatal("timed out waiting for " + what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -182,13 +185,13 @@
 	return reply.(wire.WatchReply)
 }
 
-// A daemon's control instance is lost and the next one has not yet applied the
-// last changes. A daemon that took its older state would bring back a contract
-// that was changed.
-func TestDaemonDoesNotStepBackAtALaggingInstance(t *testing.T) {
+// When a daemon moves to a control instance that has not yet applied the latest
+// changes, it must not adopt that instance's older state, which would restore a
+// contract that has since been changed.
+func TestDaemonIgnoresOlderStateOfLaggingInstance(t *testing.T) {
 	c := newCluster(t, 2, control.Options{})
 	first := c.propose(0, putContract(0, 1))
-	c.members[1].cut.Store(true)
+	c.members[1].isolated.Store(true)
 	second := c.propose(0, putContract(first.Index, 2))
 
 	config := follow.NewConfig()
@@ -199,7 +202,7 @@
 	})
 	behind := watch(t, c.members[1].control, wire.Watch{Daemon: "d", ConfigIndex: config.Index()})
 	config.Apply(behind.Changes, behind.ConfigIndex)
-	// Its whole snapshot, delivered late, changes nothing either.
+	// A snapshot of the lagging instance that is delivered late has no effect either.
 	late := watch(t, c.members[1].control, wire.Watch{Daemon: "late"})
 	var old []state.Change
 	if err := wire.Unpack(late.Snapshot.Changes, &old); err != nil {
@@ -212,9 +215,9 @@
 	}
 }
 
-// A daemon was stopped while hundreds of changes passed it by. It must get all
-// of them, by the changes or by a snapshot, in messages that stay small.
-func TestDaemonFarBehindCatchesUpByWhicheverIsLess(t *testing.T) {
+// A daemon that has missed hundreds of changes must get all of them, as changes or as
+// a snapshot, in messages of bounded size.
+func TestDaemonCatchesUpByTailOrSnapshot(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
 		name             string
@@ -251,7 +254,7 @@
 				}
 				config.Apply(changes, reply.ConfigIndex)
 				if size := len(mustJSON(t, reply)); size > messageBytes+2048 && reply.Snapshot == nil {
-					t.Fatalf("a message of %d bytes", size)
+					t.Fatalf("message of %d bytes exceeds the bound", size)
 				}
 				if page := reply.Snapshot; page != nil {
 					pages++
@@ -267,7 +270,7 @@
 				}
 			}
 			if (pages > 0) != test.wantPages {
-				t.Errorf("%d pages", pages)
+				t.Errorf("got %d snapshot pages", pages)
 			}
 			for i := max(0, test.adapters-test.behind); i < test.adapters; i++ {
 				if _, found := config.Adapter(putAdapter(i).PutAdapter.Ref); !found {
@@ -278,10 +281,9 @@
 	}
 }
 
-// One control instance is silently cut off from the others, and so is nothing
-// else: it still answers its daemons. An entry that stayed there would go on
-// under contracts that were changed.
-func TestDaemonLeavesAnIsolatedInstance(t *testing.T) {
+// A control instance that is cut off from the other instances only still answers its
+// daemons. An entry that stayed with it would continue under outdated contracts.
+func TestDaemonLeavesIsolatedInstance(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3, control.Options{})
 	first := c.propose(0, putContract(0, 1))
@@ -291,18 +293,18 @@
 		followers = append(followers, f)
 		eventually(t, "the first contract", func() bool { return f.Config().Index() == first.Index && f.Freshness().MayAdmit() })
 	}
-	c.members[1].cut.Store(true)
+	c.members[1].isolated.Store(true)
 	second := c.propose(0, putContract(first.Index, 2))
 	for _, f := range followers {
 		eventually(t, "the second contract", func() bool { return f.Config().Index() == second.Index })
-		eventually(t, "a proof", func() bool { return f.Freshness().Kind == freshness.Fresh })
+		eventually(t, "a proof of freshness", func() bool { return f.Freshness().Kind == freshness.Fresh })
 	}
 }
 
-// An entry reaches nothing but the isolated instance. It must stop admitting
-// rather than serve under what may be an old contract, and keep its directory
-// for when the network is whole again.
-func TestDaemonCutOffWithAnIsolatedInstanceStopsAdmitting(t *testing.T) {
+// An entry that reaches only an isolated control instance must stop admitting rather
+// than serve under possibly outdated contracts. It must keep its copy and
+// recover once the network does.
+func TestDaemonStopsAdmittingWithOnlyIsolatedInstance(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3, control.Options{})
 	first := c.propose(0, putContract(0, 1))
@@ -313,19 +315,19 @@
 	f := c.follow("entry", c.peers[1], "127.0.0.1:1", "127.0.0.1:2")
 	eventually(t, "a fresh copy", func() bool { return f.Freshness().Kind == freshness.Fresh && f.Config().Index() == first.Index })
 	eventually(t, "the server", func() bool { return len(f.Servers()) == 1 })
-	c.members[1].cut.Store(true)
-	eventually(t, "doubt", func() bool { return f.Freshness().Kind != freshness.Fresh })
+	c.members[1].isolated.Store(true)
+	eventually(t, "the copy to be no longer fresh", func() bool { return f.Freshness().Kind != freshness.Fresh })
 	if got := f.Config().Index(); got != first.Index {
 		t.Errorf("index %d", got)
 	}
-	c.members[1].cut.Store(false)
+	c.members[1].isolated.Store(false)
 	eventually(t, "a fresh copy again", func() bool { return f.Freshness().Kind == freshness.Fresh })
 }
 
-// All control processes are stopped, as in an upgrade that goes wrong. Nothing
-// can be changed without them, so that entries serve on with the contracts and
-// the servers that they know.
-func TestEntryServesOnWithoutAnyControlInstance(t *testing.T) {
+// While all control instances are stopped, for example after a failed upgrade, nothing
+// can be changed. Entries must therefore continue to serve with the contracts and the
+// servers that they know.
+func TestEntryServesWithoutControlInstances(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3, control.Options{})
 	first := c.propose(0, putContract(0, 1))
@@ -334,7 +336,7 @@
 			t.Fatal(err)
 		}
 	}
-	// The long lease leaves room for a machine that is busy.
+	// The long lease leaves room for delays on a busy machine.
 	f := c.followWith(follow.Options{Daemon: "entry", Peers: c.peers, Lease: 6 * time.Second})
 	eventually(t, "a fresh copy with the server", func() bool {
 		return f.Freshness().Kind == freshness.Fresh && f.Config().Index() == first.Index && len(f.Servers()) == 1
@@ -355,9 +357,9 @@
 	return membership.Announcement{Server: server, Kind: membership.KindEngine, Address: "127.0.0.1:1", Incarnation: 1, Sequence: sequence}
 }
 
-// Operators drain a server. Entries must stop choosing it although its agent
-// has not announced anything yet.
-func TestWantedStateReachesEntriesAndTheAgent(t *testing.T) {
+// When operators drain a server, entries must stop choosing it even before its agent
+// has announced the drain.
+func TestWantedStateReachesEntriesAndAgent(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 1, control.Options{ServerLease: time.Minute})
 	handler := c.members[0].control.Handlers()[wire.MethodAnnounce]
@@ -372,7 +374,7 @@
 	eventually(t, "the drain at the entry", func() bool { return entry.Servers()[0].Leaving })
 	eventually(t, "the drain at the agent", func() bool { return agent.Config().Wanted("floor-1") == state.WantedDraining })
 	if len(agent.Servers()) != 0 {
-		t.Error("an agent needs no directory")
+		t.Error("the agent received the directory")
 	}
 	c.propose(0, putModel)
 	eventually(t, "the agent's confirmation of another change", func() bool { return agent.Config().Index() == result.Index+1 })
--- a/internal/control/limits.go
+++ b/internal/control/limits.go
@@ -10,10 +10,10 @@
 	"github.com/rosemarypass/rosemarypass/internal/operator"
 )
 
-// UseQuotas lets operators read the limits in force, before Run.
+// UseQuotas lets operators read the limits in force. It must be called before Run.
 func (c *Control) UseQuotas(quotas *Quotas) { c.quotas = quotas }
 
-// routeLimits serves the limits in force: every contract in use, or one.
+// routeLimits serves the limits in force, of every contract in use or of one.
 func (c *Control) routeLimits(router chi.Router) {
 	serve := func(w http.ResponseWriter, r *http.Request) { serveLimits(w, r, c.quotas) }
 	router.Get("/limits", serve)
@@ -29,7 +29,7 @@
 	limits, err := quotas.Limits(r.Context(), id)
 	switch {
 	case err != nil:
-		// The operators' client asks the next instance then.
+		// On this status the operators' client asks the next instance.
 		writeError(w, http.StatusServiceUnavailable, err.Error())
 	case id != "" && len(limits.Contracts) == 0:
 		writeError(w, http.StatusNotFound, "no such contract, or it is retired")
--- a/internal/control/loadbroker.go
+++ b/internal/control/loadbroker.go
@@ -11,55 +11,58 @@
 )
 
 var (
-	brokerPermits = telemetry.Counter("broker_permits")
-	brokerExpired = telemetry.Counter("broker_permits_expired")
-	brokerLimit   = telemetry.Counter("broker_limit")
-	brokerFlight  = telemetry.Counter("broker_in_flight")
-	brokerQueued  = telemetry.Counter("broker_queued")
-	brokerStore   = telemetry.Counter("broker_load_millis")
+	brokerPermits  = telemetry.Counter("broker_permits")
+	brokerExpired  = telemetry.Counter("broker_permits_expired")
+	brokerLimit    = telemetry.Counter("broker_limit")
+	brokerInFlight = telemetry.Counter("broker_in_flight")
+	brokerQueued   = telemetry.Counter("broker_queued")
+	brokerLoadTime = telemetry.Counter("broker_load_millis")
 )
 
 const (
-	brokerTick = 250 * time.Millisecond
-	maxLoads   = 5 * time.Second
+	brokerTick   = 250 * time.Millisecond
+	maxLoadsWait = 5 * time.Second
 )
 
-// LoadBroker serves the site's load broker to agents. Its state is soft: a
-// restarted broker learns what is in flight from the agents' next reports.
+// LoadBroker serves the site's load broker to agents. Its state is kept in memory
+// only: a restarted broker rebuilds it from the agents' next reports, which include
+// the loads in flight.
 type LoadBroker struct {
 	mu      sync.Mutex
 	broker  *broker.Broker
-	agents  map[string]agentSeen
+	agents  map[string]agentReport
 	expired uint64
 }
 
-// agentSeen is the newest report of an agent.
-type agentSeen struct {
+// agentReport describes the newest report of an agent.
+type agentReport struct {
 	incarnation uint64
 	sequence    uint64
-	at          time.Time
-	// superseded is closed when a newer report comes.
+	receivedAt  time.Time
+	// superseded is closed when a newer report arrives.
 	superseded chan struct{}
-	// granted holds a token when the agent got a permit by another's doing.
+	// granted receives a value when another agent's report or the expiry of
+	// permits led to a permit for this agent.
 	granted chan struct{}
 }
 
-func (s agentSeen) newerThan(in wire.Loads) bool {
-	if s.incarnation != in.Report.Incarnation {
-		return s.incarnation > in.Report.Incarnation
+// supersedes reports whether the recorded report is at least as new as in.
+func (r agentReport) supersedes(in wire.Loads) bool {
+	if r.incarnation != in.Report.Incarnation {
+		return r.incarnation > in.Report.Incarnation
 	}
-	return s.sequence >= in.Sequence
+	return r.sequence >= in.Sequence
 }
 
-// NewLoadBroker returns a broker that knows no agents.
+// NewLoadBroker returns a broker without agents.
 func NewLoadBroker(options broker.Options) *LoadBroker {
 	return &LoadBroker{
 		broker: broker.New(options),
-		agents: make(map[string]agentSeen),
+		agents: make(map[string]agentReport),
 	}
 }
 
-// Run takes back the permits of silent agents until ctx ends.
+// Run revokes the permits of agents that have stopped reporting until ctx ends.
 func (l *LoadBroker) Run(ctx context.Context) {
 	ticker := time.NewTicker(brokerTick)
 	defer ticker.Stop()
@@ -73,31 +76,32 @@
 	}
 }
 
-// agentMemory is how long a silent agent's sequence is remembered.
-const agentMemory = time.Minute
+// agentRetention is how long the sequence of an agent that has stopped reporting is
+// kept.
+const agentRetention = time.Minute
 
 func (l *LoadBroker) tick(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.wake(l.broker.Tick(now))
-	for name, seen := range l.agents {
-		if now.Sub(seen.at) > agentMemory {
+	for name, report := range l.agents {
+		if now.Sub(report.receivedAt) > agentRetention {
 			delete(l.agents, name)
 		}
 	}
-	l.publish()
+	l.updateMetrics()
 }
 
 // Sync answers MethodLoads.
 func (l *LoadBroker) Sync(ctx context.Context, in wire.Loads) (wire.LoadsReply, error) {
-	wait := min(time.Duration(in.WaitMillis)*time.Millisecond, maxLoads)
+	wait := min(time.Duration(in.WaitMillis)*time.Millisecond, maxLoadsWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	reply, seen, current := l.take(in, time.Now())
+	reply, report, current := l.accept(in, time.Now())
 	for current && len(reply.Granted) == 0 && wait > 0 {
 		select {
-		case <-seen.granted:
-		case <-seen.superseded:
+		case <-report.granted:
+		case <-report.superseded:
 			return reply, nil
 		case <-timer.C:
 			return reply, nil
@@ -109,68 +113,69 @@
 	return reply, nil
 }
 
-// take applies a report unless a newer one came first.
-func (l *LoadBroker) take(in wire.Loads, now time.Time) (reply wire.LoadsReply, seen agentSeen, current bool) {
+// accept applies a report unless a newer one arrived before it. current is false in
+// that case.
+func (l *LoadBroker) accept(in wire.Loads, now time.Time) (reply wire.LoadsReply, report agentReport, current bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known, present := l.agents[in.Report.Agent]
-	if known.newerThan(in) {
-		return wire.LoadsReply{}, known, false
+	previous, present := l.agents[in.Report.Agent]
+	if previous.supersedes(in) {
+		return wire.LoadsReply{}, previous, false
 	}
 	if present {
-		close(known.superseded)
+		close(previous.superseded)
 	}
-	seen = agentSeen{
+	report = agentReport{
 		incarnation: in.Report.Incarnation,
 		sequence:    in.Sequence,
-		at:          now,
+		receivedAt:  now,
 		superseded:  make(chan struct{}),
 		granted:     make(chan struct{}, 1),
 	}
-	l.agents[in.Report.Agent] = seen
-	return l.sync(in.Report, now), seen, true
+	l.agents[in.Report.Agent] = report
+	return l.sync(in.Report, now), report, true
 }
 
-// poll looks again for permits of a report that was taken before. The first
-// look told the load times.
+// poll checks again for permits for a report that was accepted before. It omits the
+// finished loads, whose times accept has already passed to the broker.
 func (l *LoadBroker) poll(in wire.Loads, now time.Time) (reply wire.LoadsReply, current bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	seen := l.agents[in.Report.Agent]
-	if seen.incarnation != in.Report.Incarnation || seen.sequence != in.Sequence {
+	report := l.agents[in.Report.Agent]
+	if report.incarnation != in.Report.Incarnation || report.sequence != in.Sequence {
 		return wire.LoadsReply{}, false
 	}
 	in.Report.Finished = nil
 	return l.sync(in.Report, now), true
 }
 
-// sync passes a report to the broker and wakes the agents that got a permit by
-// it. The caller holds mu.
+// sync passes a report to the broker and wakes the polls of other agents that got a
+// permit as a result. The caller holds mu.
 func (l *LoadBroker) sync(report broker.Report, now time.Time) wire.LoadsReply {
 	own, others := l.broker.Sync(report, now)
 	brokerPermits.Add(int64(len(own)))
 	l.wake(others)
-	l.publish()
-	return replyOf(own)
+	l.updateMetrics()
+	return newLoadsReply(own)
 }
 
-// wake lets the polls of the agents with new permits look again. Waking every
-// poll instead would cost a site of hundreds of agents, all waiting for a slow
-// store, the square of their number for each report. The caller holds mu.
+// wake makes the polls of the agents with new permits check again. Waking every
+// poll instead would be quadratic: with hundreds of agents waiting for a slow store,
+// each report would cost the square of their number. The caller holds mu.
 func (l *LoadBroker) wake(grants []broker.Grant) {
 	for _, g := range grants {
-		seen, known := l.agents[g.Agent]
+		report, known := l.agents[g.Agent]
 		if !known {
 			continue
 		}
 		select {
-		case seen.granted <- struct{}{}:
+		case report.granted <- struct{}{}:
 		default:
 		}
 	}
 }
 
-func replyOf(grants []broker.Grant) wire.LoadsReply {
+func newLoadsReply(grants []broker.Grant) wire.LoadsReply {
 	var reply wire.LoadsReply
 	for _, g := range grants {
 		reply.Granted = append(reply.Granted, g.Order)
@@ -178,12 +183,12 @@
 	return reply
 }
 
-// publish sets the gauges. The caller holds mu.
-func (l *LoadBroker) publish() {
+// updateMetrics sets the gauges. The caller holds mu.
+func (l *LoadBroker) updateMetrics() {
 	brokerLimit.Set(int64(l.broker.Limit()))
-	brokerFlight.Set(int64(l.broker.InFlight()))
+	brokerInFlight.Set(int64(l.broker.InFlight()))
 	brokerQueued.Set(int64(l.broker.Queued()))
-	brokerStore.Set(l.broker.LoadTime().Milliseconds())
+	brokerLoadTime.Set(l.broker.LoadTime().Milliseconds())
 	brokerExpired.Add(int64(l.broker.Expired() - l.expired))
 	l.expired = l.broker.Expired()
 }
--- a/internal/control/log.go
+++ b/internal/control/log.go
@@ -14,20 +14,20 @@
 	"github.com/rosemarypass/rosemarypass/internal/telemetry"
 )
 
-// Log makes commands durable and hands them, in one order, to Control.Apply on
-// every control instance.
+// Log makes commands durable and passes them to Control.Apply on every control
+// instance in the same order.
 type Log interface {
-	// Propose commits an encoded command and returns what Apply answered on
+	// Propose commits an encoded command and returns the result of Apply on
 	// this or another instance. ErrNotAccepted means that the command was
-	// not committed and never will be; after any other error its fate is
-	// unknown.
+	// not committed and never will be; after any other error it is unknown
+	// whether it was or will be committed.
 	Propose(ctx context.Context, data []byte) ([]byte, error)
 	// Barrier returns nil once a quorum has confirmed that every command
-	// committed anywhere before the call has been applied on this instance.
+	// committed on any instance before the call has been applied on this one.
 	Barrier(ctx context.Context) error
 	// Standing describes the log on this instance: its term, last entry,
 	// applied entry, leader and number of voters. It must not block, and must
-	// never name as applied what Apply has not returned from.
+	// not report an entry as applied before Apply has returned for it.
 	Standing() freshness.Standing
 }
 
@@ -36,13 +36,13 @@
 
 var undecodedCount = telemetry.Counter("control_commands_undecoded")
 
-// UseLog replaces the log, before Run. Without it commands are applied on this
-// instance alone and are lost when it stops.
+// UseLog replaces the log. It must be called before Run. By default commands are
+// applied on this instance only and are lost when it stops.
 func (c *Control) UseLog(log Log) { c.durable = log }
 
 // Propose commits a command through the log and returns its result.
 func (c *Control) Propose(ctx context.Context, command state.Command) (state.Result, error) {
-	if ahead, refuse := c.clock.refuses(); refuse {
+	if ahead, tooFar := c.clock.check(); tooFar {
 		clockRefusedCount.Add(1)
 		return state.Result{}, errors.Wrapf(ErrNotAccepted, "this instance's clock is %s ahead of the others", ahead)
 	}
@@ -65,16 +65,17 @@
 func (c *Control) Apply(index uint64, data []byte) []byte {
 	command, err := state.DecodeCommand(data)
 	if err != nil {
-		// An instance of another program version may have written it. Every
-		// instance of this version refuses it alike, as an empty command.
+		// An instance with another program version may have written the
+		// command. Every instance with this version treats it the same way, as
+		// an empty command, which is refused.
 		undecodedCount.Add(1)
-		c.log.Error("a committed command cannot be read", zap.Uint64("index", index), zap.Error(err))
+		c.log.Error("cannot decode committed command", zap.Uint64("index", index), zap.Error(err))
 		command = state.Command{}
 	}
 	result := c.apply(index, command)
 	answer, err := result.Encode()
 	if err != nil {
-		panic("control: a result cannot be encoded: " + err.Error())
+		panic("control: cannot encode result: " + err.Error())
 	}
 	return answer
 }
@@ -85,7 +86,7 @@
 	result, change := c.machine.Apply(index, command)
 	if change != nil {
 		c.tail.append(*change)
-		c.show(time.Now())
+		c.publish(time.Now())
 	}
 	return result
 }
@@ -98,8 +99,8 @@
 	return frozen.Encode()
 }
 
-// Restore replaces the state by a snapshot. Daemons that are behind it get a
-// snapshot too, as the changes in between are not known.
+// Restore replaces the state by a snapshot. Daemons that are behind it also get a
+// snapshot, because the changes in between are not available.
 func (c *Control) Restore(data []byte) error {
 	machine, err := state.Decode(data)
 	if err != nil {
@@ -109,12 +110,12 @@
 	defer c.mu.Unlock()
 	c.machine = machine
 	c.pages = nil
-	c.tail.restart(machine.ConfigIndex())
-	c.showNow(time.Now())
+	c.tail.reset(machine.ConfigIndex())
+	c.publishNow(time.Now())
 	return nil
 }
 
-// localLog applies commands at once on this instance alone.
+// localLog applies commands immediately, on this instance only.
 type localLog struct {
 	control *Control
 	mu      sync.Mutex
@@ -132,7 +133,7 @@
 	return answer, nil
 }
 
-// Barrier implements Log: the one instance is its own quorum.
+// Barrier implements Log. A single instance is its own quorum.
 func (l *localLog) Barrier(context.Context) error { return nil }
 
 // Standing implements Log.
--- a/internal/control/objects.go
+++ b/internal/control/objects.go
@@ -13,7 +13,7 @@
 	"github.com/rosemarypass/rosemarypass/internal/operator"
 )
 
-// adapterPageSize is how many adapters one answer lists.
+// adapterPageSize is the maximum number of adapters in one response.
 const adapterPageSize = 5000
 
 func (c *Control) listContracts(w http.ResponseWriter, _ *http.Request) {
@@ -31,8 +31,8 @@
 	writeJSON(w, http.StatusOK, found)
 }
 
-// putContract takes the whole contract; its Revision is the one that the
-// writer read, 0 to create.
+// putContract replaces the whole contract. Its Revision is the revision that the
+// writer read, or 0 to create the contract.
 func (c *Control) putContract(w http.ResponseWriter, r *http.Request) {
 	var next contract.Contract
 	if !readBody(w, r, &next) {
@@ -69,7 +69,8 @@
 	c.propose(w, r, state.Command{PutModel: &model})
 }
 
-// listAdapters answers in pages, as a deployment may have very many.
+// listAdapters responds with one page at a time, because a deployment may have more
+// adapters than fit into one response.
 func (c *Control) listAdapters(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, prefix := query.Get("after"), query.Get("prefix")
@@ -77,7 +78,7 @@
 	c.read(func(m *state.Machine) { table = m.AdapterTable() })
 	page := operator.AdapterPage{}
 	for _, adapter := range table.Sorted() {
-		if !strings.HasPrefix(adapter.Ref.Adapter, prefix) || !follows(adapter.Ref, after) {
+		if !strings.HasPrefix(adapter.Ref.Adapter, prefix) || !sortsAfter(adapter.Ref, after) {
 			continue
 		}
 		if len(page.Adapters) == adapterPageSize {
@@ -89,8 +90,9 @@
 	writeJSON(w, http.StatusOK, page)
 }
 
-// follows reports whether a version comes after the last one of a page.
-func follows(ref catalogue.Ref, after string) bool {
+// sortsAfter reports whether a version sorts after the last version of the previous
+// page. Without a valid last version it reports true.
+func sortsAfter(ref catalogue.Ref, after string) bool {
 	last, err := catalogue.ParseRef(after)
 	if err != nil {
 		return true
@@ -165,7 +167,7 @@
 	writeJSON(w, http.StatusOK, rows[i])
 }
 
-// serverRows joins what servers announce with what is wanted of them.
+// serverRows joins the servers' announcements with their wanted states.
 func (c *Control) serverRows() []operator.Server {
 	c.mu.Lock()
 	live, wanted := c.directory.Live(), c.machine.Servers()
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -18,18 +18,18 @@
 	"github.com/rosemarypass/rosemarypass/internal/telemetry"
 )
 
-// maxOperatorBody bounds a body that an operator sends, in bytes.
+// maxOperatorBody bounds the body of an operator's request, in bytes.
 const maxOperatorBody = 1 << 20
 
-// readBarrierTimeout bounds how long a reading waits for a quorum before it is
+// readBarrierTimeout bounds how long a read waits for a quorum before it is
 // answered as unconfirmed.
 const readBarrierTimeout = time.Second
 
 var (
-	operatorRefusedCount = telemetry.Counter("control_operator_unauthorized")
-	proposedCount        = telemetry.Counter("control_proposals")
-	proposeFailedCount   = telemetry.Counter("control_proposals_failed")
-	unconfirmedReadCount = telemetry.Counter("control_reads_unconfirmed")
+	operatorUnauthorizedCount = telemetry.Counter("control_operator_unauthorized")
+	proposedCount             = telemetry.Counter("control_proposals")
+	proposeFailedCount        = telemetry.Counter("control_proposals_failed")
+	unconfirmedReadCount      = telemetry.Counter("control_reads_unconfirmed")
 )
 
 // OperatorHandler serves the operators' HTTP interface.
@@ -38,9 +38,9 @@
 	router.Post(AnnouncePath, c.announceOverHTTP)
 	router.Route("/admin/v1", func(admin chi.Router) {
 		admin.Use(c.authenticateOperator)
-		admin.Group(func(readings chi.Router) {
-			readings.Use(c.confirmReading)
-			c.routeReadings(readings)
+		admin.Group(func(reads chi.Router) {
+			reads.Use(c.confirmRead)
+			c.routeReads(reads)
 		})
 		c.routeChanges(admin)
 		c.routeMembers(admin)
@@ -51,7 +51,7 @@
 	return router
 }
 
-func (c *Control) routeReadings(router chi.Router) {
+func (c *Control) routeReads(router chi.Router) {
 	router.Get("/contracts", c.listContracts)
 	router.Get("/contracts/{id}", c.getContract)
 	router.Get("/models", c.listModels)
@@ -75,8 +75,8 @@
 
 func (c *Control) authenticateOperator(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !knowsKey(c.options.OperatorKeyHashes, bearer(r)) {
-			operatorRefusedCount.Add(1)
+		if !matchesKey(c.options.OperatorKeyHashes, bearer(r)) {
+			operatorUnauthorizedCount.Add(1)
 			writeError(w, http.StatusUnauthorized, "unknown operator key")
 			return
 		}
@@ -89,21 +89,22 @@
 	return key
 }
 
-// knowsKey compares in constant time, so that its timing tells nothing about
-// how much of a guessed key's digest is right.
-func knowsKey(hashes []string, key string) bool {
+// matchesKey reports whether the key has one of the hashes. It compares in constant
+// time, so that its timing does not reveal how much of a guessed key's digest is
+// correct.
+func matchesKey(hashes []string, key string) bool {
 	hash := []byte(follow.HashKey(key))
-	known := 0
+	matched := 0
 	for _, candidate := range hashes {
-		known |= subtle.ConstantTimeCompare(hash, []byte(candidate))
+		matched |= subtle.ConstantTimeCompare(hash, []byte(candidate))
 	}
-	return known == 1
+	return matched == 1
 }
 
-// confirmReading lets a reading see every change accepted before it. Without a
-// quorum it is answered all the same and says so: an operator needs to look
-// most of all when control is in trouble.
-func (c *Control) confirmReading(next http.Handler) http.Handler {
+// confirmRead makes a read see every change accepted before it. Without a quorum the
+// read is still answered, and marked as unconfirmed: operators need reads most when
+// the control instances are failing.
+func (c *Control) confirmRead(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), readBarrierTimeout)
 		defer cancel()
@@ -115,7 +116,8 @@
 	})
 }
 
-// writeJSON answers with a body that is encoded whole before the status is said.
+// writeJSON encodes the whole body before it sends the status, so that an encoding
+// error is answered with status 500.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -142,10 +144,10 @@
 		writeJSON(w, http.StatusServiceUnavailable, failure)
 		return
 	}
-	writeJSON(w, statusOf(result.Code), result)
+	writeJSON(w, httpStatus(result.Code), result)
 }
 
-func statusOf(code state.Code) int {
+func httpStatus(code state.Code) int {
 	switch code {
 	case state.CodeOK:
 		return http.StatusOK
--- a/internal/control/operator_test.go
+++ b/internal/control/operator_test.go
@@ -29,7 +29,7 @@
 }
 
 // serveOperators returns the operators' URL of each instance. An instance whose
-// answers are lost runs what it is asked and cuts the connection.
+// flag in lost is set executes requests and then aborts the connection without an answer.
 func (c *cluster) serveOperators(lost ...*atomic.Bool) []string {
 	var urls []string
 	for i, m := range c.members {
@@ -47,15 +47,15 @@
 	return urls
 }
 
-func sample(revision uint64, rate float64) contract.Contract {
+func contractRevision(revision uint64, rate float64) contract.Contract {
 	next := putContract(0, rate).PutContract.Contract
 	next.Revision = revision
 	return next
 }
 
-// Many operators change the same contract at the same moment, all from the
-// revision that they read. All but one must learn who won.
-func TestOfManyRacingOperatorsOneWins(t *testing.T) {
+// When many operators change the same contract concurrently, starting from the same
+// revision, exactly one must succeed and the others must get the winning contract.
+func TestConcurrentChangesOneWins(t *testing.T) {
 	c := newCluster(t, 1, operatorOptions)
 	urls := c.serveOperators()
 	first := c.propose(0, putContract(0, 1))
@@ -64,7 +64,7 @@
 	for i := range 8 {
 		operators.Go(func() {
 			client := operator.NewClient(operator.Options{URLs: urls, Key: operatorKey})
-			_, err := client.PutContract(context.Background(), sample(first.Index, float64(10+i)))
+			_, err := client.PutContract(context.Background(), contractRevision(first.Index, float64(10+i)))
 			var refused *operator.RefusedError
 			switch {
 			case err == nil:
@@ -80,25 +80,25 @@
 	}
 }
 
-// A control instance commits a change and its answer is lost. The operators'
-// tool goes on to another instance, which must give the first answer rather
-// than a conflict with the operator's own change.
-func TestResendAfterALostAnswerGetsTheFirstAnswer(t *testing.T) {
+// When a control instance commits a change and its answer is lost, the operators' tool
+// resends the change to another instance. That must return the first answer rather than
+// a conflict with the operator's own change.
+func TestResendAfterLostAnswerGetsFirstAnswer(t *testing.T) {
 	c := newCluster(t, 2, operatorOptions)
 	var lost atomic.Bool
 	lost.Store(true)
 	urls := c.serveOperators(&lost)
 	first := c.propose(0, putContract(0, 1))
 	client := operator.NewClient(operator.Options{URLs: urls, Key: operatorKey, Operation: "op-7"})
-	result, err := client.PutContract(context.Background(), sample(first.Index, 2))
+	result, err := client.PutContract(context.Background(), contractRevision(first.Index, 2))
 	if err != nil || result.Index != first.Index+1 {
 		t.Fatalf("%+v, %v", result, err)
 	}
-	// Hours later, by hand, at the first instance, after another change.
+	// Resend by hand at the first instance, after another change.
 	lost.Store(false)
 	c.propose(1, putContract(result.Index, 3))
-	again := operator.NewClient(operator.Options{URLs: urls, Key: operatorKey, Operation: "op-7"})
-	resent, err := again.PutContract(context.Background(), sample(first.Index, 2))
+	retrying := operator.NewClient(operator.Options{URLs: urls, Key: operatorKey, Operation: "op-7"})
+	resent, err := retrying.PutContract(context.Background(), contractRevision(first.Index, 2))
 	if err != nil || resent != result {
 		t.Errorf("resent %+v, %v; want %+v", resent, err, result)
 	}
@@ -107,33 +107,33 @@
 	}
 }
 
-// An instance without a quorum cannot tell what was accepted elsewhere. The
-// operator's reading from it must say so, and a change must go to another.
-func TestIsolatedInstanceSaysSoToOperators(t *testing.T) {
+// An instance without a quorum does not know which changes other instances have
+// accepted. Reads from it must be marked as unconfirmed, and changes must go to another
+// instance.
+func TestIsolatedInstanceMarksReadsUnconfirmed(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2, operatorOptions)
 	urls := c.serveOperators()
 	first := c.propose(0, putContract(0, 1))
-	c.members[0].cut.Store(true)
+	c.members[0].isolated.Store(true)
 	client := operator.NewClient(operator.Options{URLs: urls, Key: operatorKey})
 	read, err := client.Contract(context.Background(), "cascade")
 	if err != nil || !client.Unconfirmed() {
 		t.Errorf("%+v, %v, unconfirmed %t", read, err, client.Unconfirmed())
 	}
-	result, err := client.PutContract(context.Background(), sample(first.Index, 2))
+	result, err := client.PutContract(context.Background(), contractRevision(first.Index, 2))
 	if err != nil || result.Index != first.Index+1 {
 		t.Errorf("%+v, %v", result, err)
 	}
-	nowhere := operator.NewClient(operator.Options{URLs: urls[:1], Key: operatorKey, Rounds: 1})
-	if _, err := nowhere.PutContract(context.Background(), sample(first.Index, 4)); !errors.Is(err, operator.ErrUnknown) {
-		t.Errorf("a change at the isolated instance: %v", err)
+	isolatedOnly := operator.NewClient(operator.Options{URLs: urls[:1], Key: operatorKey, Rounds: 1})
+	if _, err := isolatedOnly.PutContract(context.Background(), contractRevision(first.Index, 4)); !errors.Is(err, operator.ErrUnknown) {
+		t.Errorf("change at the isolated instance: got error %v, want ErrUnknown", err)
 	}
 }
 
-// A daemon hangs without following the feed any more, another one vanished.
-// The operator waits for a change and must learn which daemons still work
-// without it.
-func TestWaitNamesTheDaemonsItWaitsFor(t *testing.T) {
+// When a daemon hangs and no longer follows the feed, an operator who waits for a
+// change must learn that this daemon still works without it.
+func TestInForceNamesWaitingDaemons(t *testing.T) {
 	t.Parallel()
 	options := operatorOptions
 	options.DaemonLease = time.Minute
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestVanishedDaemonIsNamedAsLost(t *testing.T) {
+func TestInForceNamesLostDaemons(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 1, operatorOptions)
 	client := operator.NewClient(operator.Options{URLs: c.serveOperators(), Key: operatorKey})
@@ -168,8 +168,9 @@
 	}
 }
 
-// A process that is not ours announces itself again and again under new names.
-func TestAnnouncedServersAreBounded(t *testing.T) {
+// An unknown process that announces itself repeatedly under new names must not grow
+// the directory without bound.
+func TestAnnouncedServersBounded(t *testing.T) {
 	c := newCluster(t, 1, control.Options{MaxServers: 3})
 	handler := c.members[0].control.Handlers()[wire.MethodAnnounce]
 	refused := 0
@@ -184,9 +185,9 @@
 	}
 }
 
-// A process that is not ours follows the feed with what would grow the table
-// of daemons or hold up every operator's wait.
-func TestWatchesAreBounded(t *testing.T) {
+// An unknown process must not be able to grow the table of daemons with oversized
+// watches, or delay every operator's wait with a long lease.
+func TestWatchesBounded(t *testing.T) {
 	c := newCluster(t, 1, control.Options{})
 	handler := c.members[0].control.Handlers()[wire.MethodWatch]
 	long := strings.Repeat("x", 300)
@@ -198,7 +199,7 @@
 		{Daemon: "d", Lease: 2 * time.Hour},
 	} {
 		if _, err := handler(context.Background(), mustJSON(t, in)); err == nil {
-			t.Errorf("%+v was taken", in)
+			t.Errorf("%+v was accepted", in)
 		}
 	}
 }
--- a/internal/control/ownership.go
+++ b/internal/control/ownership.go
@@ -10,34 +10,35 @@
 )
 
 const (
-	// ownershipInterval is the time between two confirmations by a quorum.
+	// ownershipInterval is the time between two confirmations of the leader by a quorum.
 	ownershipInterval = 150 * time.Millisecond
-	// ownershipHold is how long a confirmation lasts from when it was asked
-	// for: less than an election timeout, during which no voter that took
-	// part in it elects another leader.
-	ownershipHold = 500 * time.Millisecond
+	// ownershipLease is how long a confirmation is valid, counted from its request.
+	// It is shorter than the election timeout, during which no voter that took
+	// part in the confirmation elects another leader.
+	ownershipLease = 500 * time.Millisecond
 )
 
 // LeaderOwnership makes the leader of the log the owner of the quotas.
 //
-// The leader's own lease counts ticks, which a process that stood still has
-// missed: it would believe in an old lease for a moment after it goes on, and
-// lease shares that its successor leases too. So a quorum confirms the leader
-// over and over, and a confirmation is counted by the clock from before it was
-// asked for.
+// The leader's own lease is counted in ticks, and a process that was suspended has
+// missed ticks: after it resumes it would rely on an expired lease for a moment and
+// lease shares that its successor leases too. Therefore a quorum confirms the leader
+// periodically, and the validity of a confirmation is measured with the clock from
+// before its request.
 type LeaderOwnership struct {
 	replica *replica.Replica
 
 	mu sync.Mutex
-	// term is the confirmed one, since the last index when it was confirmed first.
-	term, since uint64
-	until       time.Time
+	// term is the confirmed term, and startIndex the log's last index when the term
+	// was first confirmed.
+	term, startIndex uint64
+	validUntil       time.Time
 }
 
-// NewLeaderOwnership returns an ownership; Run keeps it up to date.
+// NewLeaderOwnership returns an unconfirmed ownership. Run keeps it up to date.
 func NewLeaderOwnership(r *replica.Replica) *LeaderOwnership { return &LeaderOwnership{replica: r} }
 
-// Run confirms the ownership until ctx ends.
+// Run requests confirmations of the ownership until ctx ends.
 func (o *LeaderOwnership) Run(ctx context.Context) {
 	ticker := time.NewTicker(ownershipInterval)
 	defer ticker.Stop()
@@ -52,12 +53,12 @@
 }
 
 func (o *LeaderOwnership) confirm(ctx context.Context) {
-	asked := time.Now()
+	requested := time.Now()
 	before := o.replica.Status()
 	if before.Role != replog.Leader {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, ownershipHold)
+	ctx, cancel := context.WithTimeout(ctx, ownershipLease)
 	defer cancel()
 	if _, err := o.replica.ReadIndex(ctx); err != nil {
 		return
@@ -69,9 +70,9 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.term != after.Term {
-		o.term, o.since = after.Term, after.Last
+		o.term, o.startIndex = after.Term, after.Last
 	}
-	o.until = asked.Add(ownershipHold)
+	o.validUntil = requested.Add(ownershipLease)
 }
 
 // QuotaTenure implements Ownership.
@@ -79,7 +80,7 @@
 	status := o.replica.Status()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	// A leader that has asked for a transfer has no lease any more.
-	owner = status.LeaseTicks > 0 && status.Term == o.term && time.Now().Before(o.until)
-	return o.term, o.since, owner
+	// A leader that has requested a leadership transfer holds no lease.
+	owner = status.LeaseTicks > 0 && status.Term == o.term && time.Now().Before(o.validUntil)
+	return o.term, o.startIndex, owner
 }
--- a/internal/control/pages.go
+++ b/internal/control/pages.go
@@ -14,18 +14,19 @@
 	snapshotBuiltCount = telemetry.Counter("control_snapshots_built")
 )
 
-// snapshotPageChanges is how many objects one page of a snapshot holds.
+// snapshotPageChanges is the number of objects in one page of a snapshot.
 const snapshotPageChanges = 4096
 
-// pages is a snapshot in packed pages. It is kept and sent with the tail that
-// follows it, because building it costs far more than a page.
+// pages is a snapshot in packed pages. It is reused and complemented by the tail of
+// changes after it, because building a snapshot costs far more than sending a page.
 type pages struct {
 	index uint64
 	data  [][]byte
 	bytes int
 }
 
-// pageBuilder lets one poll build pages while the others that need them wait.
+// pageBuilder serializes building pages: one poll builds them while the other polls
+// that need them wait.
 type pageBuilder struct{ sync.Mutex }
 
 func buildPages(frozen state.Frozen) (*pages, error) {
@@ -42,16 +43,16 @@
 	return built, nil
 }
 
-// preparePages builds pages when the daemon needs some and the kept ones are
-// too old. Packing takes long at many adapters, so that it is done without
-// holding mu: neither announcements nor changes wait for it.
+// preparePages builds pages if the daemon needs a snapshot and the existing pages
+// are too old. Packing takes long with many adapters, so it is done without holding
+// mu: neither announcements nor changes are delayed by it.
 func (c *Control) preparePages(in wire.Watch) error {
-	if !c.lacksPages(in) {
+	if !c.needsNewPages(in) {
 		return nil
 	}
 	c.builder.Lock()
 	defer c.builder.Unlock()
-	if !c.lacksPages(in) {
+	if !c.needsNewPages(in) {
 		return nil
 	}
 	c.mu.Lock()
@@ -67,32 +68,34 @@
 	return nil
 }
 
-func (c *Control) lacksPages(in wire.Watch) bool {
+// needsNewPages reports whether the daemon needs a snapshot for which the existing
+// pages cannot be used.
+func (c *Control) needsNewPages(in wire.Watch) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if in.Scope == wire.ScopeServer || in.ConfigIndex >= c.showing.visible {
+	if in.Scope == wire.ScopeServer || in.ConfigIndex >= c.publication.visible {
 		return false
 	}
-	_, bytes, reaches := c.tail.after(in.ConfigIndex)
-	needed := in.ConfigIndex == 0 || !reaches || bytes > c.options.MessageBytes
+	_, bytes, covered := c.tail.after(in.ConfigIndex)
+	needed := in.ConfigIndex == 0 || !covered || bytes > c.options.MessageBytes
 	return needed && !c.pagesUsable()
 }
 
-// pagesUsable reports whether the kept pages with the tail after them are a
-// short way to the present. The caller holds mu.
+// pagesUsable reports whether the tail reaches back to the existing pages and its
+// packed size exceeds neither theirs nor that of one message. The caller holds mu.
 func (c *Control) pagesUsable() bool {
 	if c.pages == nil {
 		return false
 	}
-	_, bytes, reaches := c.tail.after(c.pages.index)
-	return reaches && bytes/packRatio <= max(c.pages.bytes, c.options.MessageBytes)
+	_, bytes, covered := c.tail.after(c.pages.index)
+	return covered && bytes/packRatio <= max(c.pages.bytes, c.options.MessageBytes)
 }
 
-// wantsPages reports whether a snapshot is less than the tail after an index.
-// The caller holds mu.
-func (c *Control) wantsPages(index uint64) bool {
-	_, bytes, reaches := c.tail.after(index)
-	if index == 0 || !reaches {
+// prefersPages reports whether a snapshot is smaller than the tail after an index, or
+// is required because the tail does not reach back to the index. The caller holds mu.
+func (c *Control) prefersPages(index uint64) bool {
+	_, bytes, covered := c.tail.after(index)
+	if index == 0 || !covered {
 		return true
 	}
 	if bytes <= c.options.MessageBytes || c.pages == nil || c.pages.index <= index {
@@ -102,8 +105,8 @@
 	return bytes/packRatio > c.pages.bytes+rest/packRatio
 }
 
-// addPage adds the page that the daemon asks for, or the first one when the
-// daemon has not begun to read these pages. The caller holds mu.
+// addPage adds the page that the daemon requests, or the first page if the daemon has
+// not started reading this snapshot. The caller holds mu.
 func (c *Control) addPage(reply *wire.WatchReply, in wire.Watch) {
 	if c.pages == nil {
 		return
--- a/internal/control/quota.go
+++ b/internal/control/quota.go
@@ -16,26 +16,26 @@
 )
 
 var (
-	quotaRenewals = telemetry.Counter("control_quota_renewals")
-	quotaRefused  = telemetry.Counter("control_quota_renewals_refused")
-	quotaTenures  = telemetry.Counter("control_quota_tenures")
-	quotaBusy     = telemetry.Counter("control_quota_ring_full")
-	quotaOver     = telemetry.Counter("control_quota_over_leased")
+	quotaRenewals   = telemetry.Counter("control_quota_renewals")
+	quotaRefused    = telemetry.Counter("control_quota_renewals_refused")
+	quotaTenures    = telemetry.Counter("control_quota_tenures")
+	quotaQueueFull  = telemetry.Counter("control_quota_ring_full")
+	quotaOverLeased = telemetry.Counter("control_quota_over_leased")
 )
 
-// Ownership tells which instance owns the quotas: the leader of the log.
+// Ownership determines which instance owns the quotas. It is the leader of the log.
 type Ownership interface {
-	// QuotaTenure returns the term as the fencing token and the last index of
-	// this instance's log. It is false unless it is certain that no other
-	// instance owns the quotas at this moment.
+	// QuotaTenure returns the term, which serves as the fencing token, and the
+	// last index of this instance's log. owner is false unless it is certain that
+	// no other instance owns the quotas at this moment.
 	QuotaTenure() (epoch, lastIndex uint64, owner bool)
 }
 
-// SoleOwnership is that of a control instance that runs alone.
+// SoleOwnership is the Ownership of a control instance that runs alone.
 type SoleOwnership struct {
-	// Epoch grows with every start of the instance.
+	// Epoch increases with every start of the instance.
 	Epoch uint64
-	// LastIndex is the last index of its log.
+	// LastIndex returns the last index of the instance's log.
 	LastIndex func() uint64
 }
 
@@ -45,30 +45,31 @@
 }
 
 const (
-	// quotaRing bounds the renewals that wait for the duty; one that finds it
-	// full is refused, and its entry tries again.
-	quotaRing = 1024
-	// quotaExpiry is the time between two searches for leases that ran out.
-	quotaExpiry = 100 * time.Millisecond
+	// quotaQueueLength bounds the calls that wait for the goroutine of Quotas. A
+	// renewal that finds the queue full is refused, and its entry tries again.
+	quotaQueueLength = 1024
+	// quotaExpiryInterval is the time between two checks for expired leases.
+	quotaExpiryInterval = 100 * time.Millisecond
 )
 
-// Quotas is the duty that owns the quotas while its instance is the owner.
+// Quotas manages the quotas while its instance owns them. A single goroutine, started
+// by Run, handles all calls.
 type Quotas struct {
 	options   quota.Options
 	ownership Ownership
 	contracts quota.Contracts
 	log       *zap.Logger
-	calls     chan func(*quotaDuty)
+	calls     chan func(*quotaState)
 }
 
-// NewQuotas returns the duty; Run starts it.
+// NewQuotas returns a Quotas that handles calls once Run has started.
 func NewQuotas(options quota.Options, ownership Ownership, contracts quota.Contracts, log *zap.Logger) *Quotas {
 	return &Quotas{
 		options:   options,
 		ownership: ownership,
 		contracts: contracts,
 		log:       log,
-		calls:     make(chan func(*quotaDuty), quotaRing),
+		calls:     make(chan func(*quotaState), quotaQueueLength),
 	}
 }
 
@@ -77,60 +78,60 @@
 	return map[string]rpc.Handler{wire.MethodRenewQuota: rpc.Typed(q.renew)}
 }
 
-// quotaDuty is the state of the duty's goroutine.
-type quotaDuty struct {
+// quotaState is the state that only the goroutine of Quotas accesses.
+type quotaState struct {
 	*Quotas
 	owner *quota.Owner
 	epoch uint64
 }
 
-// Run owns the quotas until ctx ends.
+// Run handles calls and expires leases until ctx ends.
 func (q *Quotas) Run(ctx context.Context) {
-	duty := &quotaDuty{Quotas: q}
-	ticker := time.NewTicker(quotaExpiry)
+	state := &quotaState{Quotas: q}
+	ticker := time.NewTicker(quotaExpiryInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case call := <-q.calls:
-			call(duty)
+			call(state)
 		case now := <-ticker.C:
-			if duty.current(now) {
-				duty.owner.Expire(now)
-				quotaOver.Set(int64(duty.owner.OverLeased()))
+			if state.ensureTenure(now) {
+				state.owner.Expire(now)
+				quotaOverLeased.Set(int64(state.owner.OverLeased()))
 			}
 		}
 	}
 }
 
-// current reports whether this instance owns the quotas, and begins a tenure
-// when it has become the owner. A tenure that is noticed late begins late, which
-// only lets leases of the predecessor run out for longer.
-func (d *quotaDuty) current(now time.Time) bool {
-	epoch, index, owner := d.ownership.QuotaTenure()
+// ensureTenure reports whether this instance owns the quotas, and begins a tenure if
+// it has just become the owner. A tenure that is detected late begins late, which
+// only extends the time allowed for the predecessor's leases to expire.
+func (s *quotaState) ensureTenure(now time.Time) bool {
+	epoch, index, owner := s.ownership.QuotaTenure()
 	if !owner {
 		return false
 	}
-	if d.owner == nil || epoch != d.epoch {
-		d.owner = quota.NewOwner(d.options, quota.Tenure{Epoch: epoch, Index: index, Began: now}, d.contracts)
-		d.epoch = epoch
+	if s.owner == nil || epoch != s.epoch {
+		s.owner = quota.NewOwner(s.options, quota.Tenure{Epoch: epoch, Index: index, Began: now}, s.contracts)
+		s.epoch = epoch
 		quotaTenures.Add(1)
-		d.log.Info("this instance owns the quotas", zap.Uint64("epoch", epoch))
+		s.log.Info("became owner of the quotas", zap.Uint64("epoch", epoch))
 	}
 	return true
 }
 
-var errQuotaBusy = errors.New("the quota duty is busy")
+var errQuotaQueueFull = errors.New("the quota duty is busy")
 
-// call runs f on the duty's goroutine and waits for it.
-func (q *Quotas) call(ctx context.Context, f func(*quotaDuty)) error {
+// call runs f on the goroutine of Quotas and waits for it to return.
+func (q *Quotas) call(ctx context.Context, f func(*quotaState)) error {
 	done := make(chan struct{})
 	select {
-	case q.calls <- func(d *quotaDuty) { f(d); close(done) }:
+	case q.calls <- func(s *quotaState) { f(s); close(done) }:
 	default:
-		quotaBusy.Add(1)
-		return errQuotaBusy
+		quotaQueueFull.Add(1)
+		return errQuotaQueueFull
 	}
 	select {
 	case <-done:
@@ -142,39 +143,40 @@
 
 func (q *Quotas) renew(ctx context.Context, renewal quota.Renewal) (quota.Reply, error) {
 	reply := make(chan quota.Reply, 1)
-	err := q.call(ctx, func(d *quotaDuty) { reply <- d.renew(time.Now(), renewal) })
+	err := q.call(ctx, func(s *quotaState) { reply <- s.renew(time.Now(), renewal) })
 	if err != nil {
 		return quota.Reply{}, err
 	}
 	return <-reply, nil
 }
 
-func (d *quotaDuty) renew(now time.Time, renewal quota.Renewal) quota.Reply {
+func (s *quotaState) renew(now time.Time, renewal quota.Renewal) quota.Reply {
 	quotaRenewals.Add(1)
 	refused := quota.Reply{Incarnation: renewal.Incarnation, Number: renewal.Number}
-	if !d.current(now) {
+	if !s.ensureTenure(now) {
 		quotaRefused.Add(1)
 		return refused
 	}
-	reply := d.owner.Renew(now, renewal)
+	reply := s.owner.Renew(now, renewal)
 	if !reply.Accepted {
 		quotaRefused.Add(1)
 	}
 	return reply
 }
 
-// ErrNotOwner means that another instance owns the quotas, or none.
+// ErrNotOwner means that another instance owns the quotas, or no instance does.
 var ErrNotOwner = errors.New("this instance does not own the quotas")
 
-// Limits reports on every contract in use, or on the one that is named.
+// Limits returns the limits in force of every contract in use, or of the contract id
+// if that is not empty.
 func (q *Quotas) Limits(ctx context.Context, id string) (operator.Limits, error) {
 	type answer struct {
 		limits operator.Limits
 		owner  bool
 	}
 	result := make(chan answer, 1)
-	err := q.call(ctx, func(d *quotaDuty) {
-		limits, owner := d.limits(time.Now(), id)
+	err := q.call(ctx, func(s *quotaState) {
+		limits, owner := s.limits(time.Now(), id)
 		result <- answer{limits, owner}
 	})
 	if err != nil {
@@ -186,26 +188,27 @@
 	return operator.Limits{}, ErrNotOwner
 }
 
-func (d *quotaDuty) limits(now time.Time, id string) (limits operator.Limits, owner bool) {
-	if !d.current(now) {
+func (s *quotaState) limits(now time.Time, id string) (limits operator.Limits, owner bool) {
+	if !s.ensureTenure(now) {
 		return operator.Limits{}, false
 	}
 	ids := []string{id}
 	if id == "" {
-		ids = d.owner.Contracts()
+		ids = s.owner.Contracts()
 	}
-	limits = operator.Limits{Epoch: d.epoch, Contracts: make([]operator.ContractLimits, 0, len(ids))}
+	limits = operator.Limits{Epoch: s.epoch, Contracts: make([]operator.ContractLimits, 0, len(ids))}
 	for _, id := range ids {
-		if agreed, ok := d.contracts(id); ok {
+		if found, ok := s.contracts(id); ok {
 			limits.Contracts = append(limits.Contracts, operator.ContractLimits{
-				Standing: d.owner.Standing(id), Limits: agreed.Limits, Share: agreed.Share,
+				Standing: s.owner.Standing(id), Limits: found.Limits, Share: found.Share,
 			})
 		}
 	}
 	return limits, true
 }
 
-// SoleOwnership is that of an instance whose state is in memory alone.
+// SoleOwnership returns the Ownership of an instance that keeps its state in memory
+// only.
 func (c *Control) SoleOwnership() SoleOwnership {
 	return SoleOwnership{Epoch: uint64(time.Now().UnixNano()), LastIndex: func() uint64 {
 		c.mu.Lock()
@@ -214,7 +217,7 @@
 	}}
 }
 
-// Agreed finds a contract that admits requests.
+// Agreed returns a contract if it exists and is not retired.
 func (c *Control) Agreed(id string) (contract.Contract, bool) {
 	found, ok := c.Contract(id)
 	return found, ok && !found.Retired
--- a/internal/control/replicated.go
+++ b/internal/control/replicated.go
@@ -14,26 +14,28 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// Membership is the replicated log's membership as operators see and change it.
+// Membership gives operators access to the replicated log's membership.
 type Membership interface {
-	// Members returns the leader's view, or this instance's own without one.
+	// Members returns the leader's view, or this instance's own view if no leader
+	// is known.
 	Members(ctx context.Context) wire.MemberList
-	// ChangeMembers returns once a change is committed, or has begun in the
-	// case of a transfer.
+	// ChangeMembers returns once a change is committed or, in the case of a
+	// leadership transfer, has begun.
 	ChangeMembers(ctx context.Context, change wire.MemberChange) error
 }
 
-// UseReplica makes the commands durable in the replicated log, before Run.
+// UseReplica makes commands durable in the replicated log. It must be called before
+// Run.
 func (c *Control) UseReplica(r *replica.Replica) {
 	c.UseLog(replicatedLog{r})
 	c.members = r
 }
 
-// proposeTimeout ends a proposal before an operator's tool stops waiting for
-// it, so that the tool learns when nothing was committed.
+// proposeTimeout bounds a proposal. It is shorter than the timeout of the operators'
+// tool, so that the tool still receives the answer that nothing was committed.
 const proposeTimeout = 4 * time.Second
 
-// replicatedLog is a replica as a Log.
+// replicatedLog implements Log with a replica.
 type replicatedLog struct{ replica *replica.Replica }
 
 // Propose implements Log.
@@ -63,14 +65,14 @@
 
 func (c *Control) listMembers(w http.ResponseWriter, r *http.Request) {
 	if c.members == nil {
-		writeError(w, http.StatusNotFound, errNoMembers)
+		writeError(w, http.StatusNotFound, noMembersMessage)
 		return
 	}
 	writeJSON(w, http.StatusOK, c.members.Members(r.Context()))
 }
 
-// errNoMembers is what an instance without a data folder answers.
-const errNoMembers = "this control instance keeps its state in memory alone and has no members"
+// noMembersMessage is the answer of an instance without a data folder.
+const noMembersMessage = "this control instance keeps its state in memory alone and has no members"
 
 func (c *Control) changeMembers(w http.ResponseWriter, r *http.Request) {
 	var change wire.MemberChange
@@ -78,7 +80,7 @@
 		return
 	}
 	if c.members == nil {
-		writeError(w, http.StatusNotFound, errNoMembers)
+		writeError(w, http.StatusNotFound, noMembersMessage)
 		return
 	}
 	err := c.members.ChangeMembers(r.Context(), change)
--- a/internal/control/standing.go
+++ b/internal/control/standing.go
@@ -10,12 +10,13 @@
 )
 
 const (
-	// confirmInterval is the time between confirmations by a quorum.
+	// confirmInterval is the time between two confirmations by a quorum.
 	confirmInterval = 250 * time.Millisecond
-	// confirmTimeout bounds one confirmation.
+	// confirmTimeout bounds the wait for one confirmation.
 	confirmTimeout = time.Second
-	// confirmLimit is how old a confirmation may be to be passed on.
-	confirmLimit = freshness.DefaultLease
+	// maxConfirmationAge is the maximum age of a confirmation that is passed on to
+	// daemons.
+	maxConfirmationAge = freshness.DefaultLease
 )
 
 var (
@@ -23,8 +24,8 @@
 	unconfirmedCount = telemetry.Counter("control_confirmations_failed")
 )
 
-// runConfirmations asks the log again and again whether this instance's state
-// is whole, so that daemons' watches can carry the proof.
+// runConfirmations periodically confirms with the log that this instance's state is
+// complete, so that replies to daemons' watches can carry the proof.
 func (c *Control) runConfirmations(ctx context.Context) {
 	ticker := time.NewTicker(confirmInterval)
 	defer ticker.Stop()
@@ -41,7 +42,7 @@
 func (c *Control) confirm(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	asked := time.Now()
+	requested := time.Now()
 	if err := c.durable.Barrier(ctx); err != nil {
 		unconfirmedCount.Add(1)
 		return
@@ -49,15 +50,15 @@
 	confirmedCount.Add(1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.confirmed, c.confirmedIndex = asked, c.machine.ConfigIndex()
+	c.confirmed, c.confirmedIndex = requested, c.machine.ConfigIndex()
 }
 
-// standing is what this instance can prove in answer to a question that
-// arrived at the given time. The caller holds mu.
+// standing returns what this instance can prove in reply to a request that arrived
+// at the given time. The caller holds mu.
 func (c *Control) standing(arrived time.Time) freshness.Standing {
 	standing := c.durable.Standing()
 	standing.ConfigIndex = c.machine.ConfigIndex()
-	if !c.confirmed.IsZero() && time.Since(c.confirmed) <= confirmLimit {
+	if !c.confirmed.IsZero() && time.Since(c.confirmed) <= maxConfirmationAge {
 		standing.Confirmed = true
 		standing.ConfirmedAge = arrived.Sub(c.confirmed)
 		standing.ConfirmedIndex = c.confirmedIndex
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// peerTimeout bounds a question to another control instance.
+	// peerTimeout bounds the calls to other control instances.
 	peerTimeout = time.Second
-	// inForceInterval is the time between two looks at the daemons.
+	// inForceInterval is the time between two checks of the daemons' indexes.
 	inForceInterval = 100 * time.Millisecond
 )
 
 func (c *Control) getStatus(w http.ResponseWriter, r *http.Request) {
-	survey := c.survey(r.Context())
+	view := c.queryPeers(r.Context())
 	status := operator.Status{
 		Instance:  c.options.Instance,
-		Instances: survey.instances,
-		Daemons:   survey.daemons,
+		Instances: view.instances,
+		Daemons:   view.daemons,
 		Servers:   c.serverRows(),
 	}
 	c.read(func(m *state.Machine) {
@@ -46,38 +46,38 @@
 	writeJSON(w, http.StatusOK, status)
 }
 
-// survey is what all control instances that answer know together.
-type survey struct {
-	instances []operator.Instance
-	daemons   []wire.Daemon
-	silent    []string
+// clusterView combines the answers of all control instances.
+type clusterView struct {
+	instances   []operator.Instance
+	daemons     []wire.Daemon
+	unreachable []string
 }
 
-// survey asks every control instance for its standing and its daemons.
-func (c *Control) survey(ctx context.Context) survey {
+// queryPeers asks every control instance for its standing and its daemons.
+func (c *Control) queryPeers(ctx context.Context) clusterView {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	instances := make([]operator.Instance, len(c.options.Peers))
 	daemons := make([][]wire.Daemon, len(c.options.Peers))
-	var questions sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, address := range c.options.Peers {
-		questions.Go(func() { instances[i], daemons[i] = c.askInstance(ctx, address) })
+		wg.Go(func() { instances[i], daemons[i] = c.queryPeer(ctx, address) })
 	}
-	questions.Wait()
-	result := survey{instances: instances, daemons: joinDaemons(daemons)}
+	wg.Wait()
+	result := clusterView{instances: instances, daemons: mergeDaemons(daemons)}
 	for _, instance := range instances {
 		if instance.Error != "" {
-			result.silent = append(result.silent, instance.Address)
+			result.unreachable = append(result.unreachable, instance.Address)
 		}
 	}
 	return result
 }
 
-func (c *Control) askInstance(ctx context.Context, address string) (operator.Instance, []wire.Daemon) {
+func (c *Control) queryPeer(ctx context.Context, address string) (operator.Instance, []wire.Daemon) {
 	client := rpc.NewClient(address, c.options.RPC...)
 	defer client.Close()
 	instance := operator.Instance{Address: address}
-	standing, offset, err := askStanding(ctx, client)
+	standing, offset, err := fetchStanding(ctx, client)
 	if err != nil {
 		instance.Error = err.Error()
 		return instance, nil
@@ -91,9 +91,10 @@
 	return instance, daemons.Daemons
 }
 
-// joinDaemons lists each daemon once, as the instance saw it that it called
-// last: a daemon that moved is remembered by the instance that it left.
-func joinDaemons(lists [][]wire.Daemon) []wire.Daemon {
+// mergeDaemons lists each daemon once, with the record of the instance that it
+// called last. A daemon that moved to another instance is still listed by the
+// instance that it left.
+func mergeDaemons(lists [][]wire.Daemon) []wire.Daemon {
 	latest := make(map[string]wire.Daemon)
 	for _, daemon := range slices.Concat(lists...) {
 		known, seen := latest[daemon.Name]
@@ -109,8 +110,8 @@
 	return all
 }
 
-// getInForce answers once no living daemon works without the change at an
-// index, or names those that do when the time is over.
+// getInForce answers once the change at an index is in force at every living daemon.
+// When the wait expires before that, it answers with the daemons still without it.
 func (c *Control) getInForce(w http.ResponseWriter, r *http.Request) {
 	index, err := strconv.ParseUint(chi.URLParam(r, "index"), 10, 64)
 	if err != nil {
@@ -140,9 +141,9 @@
 }
 
 func (c *Control) inForce(ctx context.Context, index uint64, waited time.Duration) operator.InForce {
-	survey := c.survey(ctx)
-	report := operator.InForce{Index: index, Silent: survey.silent}
-	for _, daemon := range survey.daemons {
+	view := c.queryPeers(ctx)
+	report := operator.InForce{Index: index, Silent: view.unreachable}
+	for _, daemon := range view.daemons {
 		switch {
 		case daemon.ConfigIndex >= index:
 		case daemon.Lost:
@@ -151,9 +152,9 @@
 			report.Waiting = append(report.Waiting, daemon)
 		}
 	}
-	// Daemons that follow a silent instance are not known here. They stop
-	// admitting within their freshness lease.
-	settled := len(survey.silent) == 0 || waited >= c.longestLease()
+	// The daemons that follow an unreachable instance are unknown to this one. They
+	// stop admitting when their freshness lease expires.
+	settled := len(view.unreachable) == 0 || waited >= c.longestLease()
 	report.Done = len(report.Waiting) == 0 && settled
 	return report
 }
--- a/internal/control/answers_test.go
+++ b/internal/control/write_json_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// A share is divided by nothing and cannot be written as JSON. The operator was
-// answered 200 with an empty body, framed as complete.
-func TestWhatCannotBeWrittenIsNoSuccess(t *testing.T) {
+// A NaN, for example from a division by zero, cannot be encoded as JSON. An encoding
+// error must not be answered with status 200 and an empty body that looks complete.
+func TestWriteJSONAnswersEncodingErrorWith500(t *testing.T) {
 	recorder := httptest.NewRecorder()
 	writeJSON(recorder, http.StatusOK, map[string]float64{"busy": math.NaN()})
 	if recorder.Code != http.StatusInternalServerError || recorder.Body.Len() == 0 {
