--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,6 +1,6 @@
-// Package ledger carries the daemons' own commands to the replicated log of the
-// control instances: about calls that must run at most once, and about requests
-// that crash their servers.
+// Package ledger sends commands of daemons to the replicated log of the control
+// instances: commands about calls that must run at most once, commands about requests
+// that crash their servers, and requests for fencing numbers.
 package ledger
 
 import (
@@ -21,20 +21,21 @@
 var retryCount = telemetry.Counter("ledger_commands_resent")
 
 const (
-	// tryTimeout bounds one call of one control instance.
-	tryTimeout = time.Second
-	// retryPause is the time between two calls.
-	retryPause = 50 * time.Millisecond
+	// attemptTimeout bounds one call to one control instance.
+	attemptTimeout = time.Second
+	// retryInterval is the time between two attempts of a call.
+	retryInterval = 50 * time.Millisecond
 )
 
-// Client sends commands to any control instance that answers.
+// Client sends commands to whichever control instance answers.
 type Client struct {
 	peers []*rpc.Client
-	// current is the peer that answered last.
+	// current selects, modulo the number of peers, the peer to call. It advances
+	// when a call fails.
 	current atomic.Uint64
 }
 
-// NewClient returns a client of the control instances at these addresses.
+// NewClient returns a client of the control instances at the given addresses.
 func NewClient(addresses []string, options ...rpc.ClientOption) *Client {
 	c := &Client{}
 	for _, address := range addresses {
@@ -43,8 +44,8 @@
 	return c
 }
 
-// Apply sends a command about a call that must run at most once. An error
-// leaves open whether the command took effect.
+// Apply sends a command about a call that must run at most once. After an error it is
+// unknown whether the command took effect.
 func (c *Client) Apply(ctx context.Context, command claim.Command) (claim.Reply, error) {
 	ctx, span := telemetry.StartClient(ctx, telemetry.SpanEntryClaim)
 	defer span.End()
@@ -53,28 +54,28 @@
 	return reply.Reply, err
 }
 
-// Suspect sends a command about requests that crash their servers. An error
-// leaves open whether the command took effect.
+// Suspect sends a command about requests that crash their servers. After an error it is
+// unknown whether the command took effect.
 func (c *Client) Suspect(ctx context.Context, command suspicion.Command) (suspicion.Verdict, error) {
 	var reply wire.SuspicionReply
 	err := c.call(ctx, wire.MethodSuspect, wire.Suspicion{Command: command}, &reply)
 	return reply.Verdict, err
 }
 
-// Fence gets the next fencing number of orders to a backend server's engine.
+// Fence obtains the next fencing number for orders to a backend server's engine.
 func (c *Client) Fence(ctx context.Context, server, holder string) (uint64, error) {
 	var reply wire.FenceReply
 	err := c.call(ctx, wire.MethodFence, wire.Fence{Server: server, Holder: holder}, &reply)
 	return reply.Number, err
 }
 
-// call sends a command until a control instance answers or ctx ends. A lost
-// answer is followed by a resend, which is safe because every command names
-// its attempt, crash or trial.
+// call sends a command until a control instance answers or ctx ends. If an answer is
+// lost, the command is sent again, which is safe because every command identifies its
+// attempt, crash or trial, and a further fencing number does no harm.
 func (c *Client) call(ctx context.Context, method string, in, out any) error {
 	for {
 		at := c.current.Load()
-		err := c.try(ctx, c.peers[at%uint64(len(c.peers))], method, in, out)
+		err := c.attempt(ctx, c.peers[at%uint64(len(c.peers))], method, in, out)
 		if err == nil {
 			return nil
 		}
@@ -83,17 +84,17 @@
 		}
 		retryCount.Add(1)
 		c.current.CompareAndSwap(at, at+1)
-		_ = wait.For(ctx, retryPause)
+		_ = wait.For(ctx, retryInterval)
 	}
 }
 
-func (c *Client) try(ctx context.Context, peer *rpc.Client, method string, in, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+func (c *Client) attempt(ctx context.Context, peer *rpc.Client, method string, in, out any) error {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	return peer.Call(ctx, method, in, out)
 }
 
-// Close closes the connections.
+// Close closes the connections to the control instances.
 func (c *Client) Close() {
 	for _, peer := range c.peers {
 		peer.Close()
