--- a/internal/wire/claims.go
+++ b/internal/wire/claims.go
@@ -2,11 +2,11 @@
 
 import "github.com/rosemarypass/rosemarypass/coord/claim"
 
-// MethodClaim takes a Claim message from an entry.
+// MethodClaim accepts a Claim message from an entry.
 const MethodClaim = "claims.apply"
 
 // Claim is one command of an entry about a call that must run at most once.
-// Sending it again is safe: it names its attempt.
+// Resending it is safe because the command identifies its attempt.
 type Claim struct {
 	Command claim.Command `json:"command"`
 }
--- a/internal/wire/feed.go
+++ b/internal/wire/feed.go
@@ -17,43 +17,44 @@
 	ScopeServer Scope = "server"
 )
 
-// Watch asks for everything after ConfigIndex and DirectoryVersion, waiting
-// until there is something or WaitMillis have passed.
+// Watch requests all changes after ConfigIndex and DirectoryVersion. The call waits
+// until there is a change or WaitMillis milliseconds have passed.
 type Watch struct {
 	Daemon string `json:"daemon"`
 	Scope  Scope  `json:"scope"`
-	// Server is the backend server of ScopeServer.
+	// Server is the name of the backend server for ScopeServer.
 	Server string `json:"server,omitempty"`
 	// ConfigIndex is the index that is in force at the daemon.
 	ConfigIndex uint64 `json:"configIndex"`
-	// SnapshotIndex and SnapshotPage ask for a page of a snapshot that the
-	// daemon has begun to read.
+	// SnapshotIndex and SnapshotPage select the next page of a snapshot that the
+	// daemon has started reading.
 	SnapshotIndex    uint64 `json:"snapshotIndex,omitempty"`
 	SnapshotPage     int    `json:"snapshotPage,omitempty"`
 	DirectoryEpoch   uint64 `json:"directoryEpoch,omitempty"`
 	DirectoryVersion uint64 `json:"directoryVersion,omitempty"`
 	WaitMillis       int64  `json:"waitMillis"`
-	// Freshness is what the daemon can prove, for operators to see.
+	// Freshness is what the daemon can prove about its copy. It is reported to
+	// operators.
 	Freshness freshness.State `json:"freshness"`
-	// Lease is how long the daemon admits after its last proof.
+	// Lease is how long the daemon admits requests after its last proof of freshness.
 	Lease time.Duration `json:"lease"`
 }
 
 // WatchReply answers Watch. At most one of Changes, Packed and Snapshot is set, and
-// neither grows beyond a bound: what is left comes with the next call.
+// each is bounded in size: the remaining changes are returned by the following calls.
 type WatchReply struct {
-	// ConfigIndex is the index that Changes bring the daemon to.
+	// ConfigIndex is the index that the daemon reaches by applying the changes.
 	ConfigIndex uint64         `json:"configIndex"`
 	Changes     []state.Change `json:"changes,omitempty"`
-	// Packed is a packed []state.Change instead of Changes, when there are many.
+	// Packed is a packed []state.Change. It replaces Changes if there are many.
 	Packed   []byte        `json:"packed,omitempty"`
 	Snapshot *SnapshotPage `json:"snapshot,omitempty"`
-	// Directory is a packed membership.Delta, nil when nothing changed.
+	// Directory is a packed membership.Delta, or nil if the directory has not changed.
 	Directory []byte             `json:"directory,omitempty"`
 	Standing  freshness.Standing `json:"standing"`
 }
 
-// AllChanges returns the changes, packed or not.
+// AllChanges returns the changes from Changes or, unpacked, from Packed.
 func (r WatchReply) AllChanges() ([]state.Change, error) {
 	if r.Packed == nil {
 		return r.Changes, nil
@@ -63,10 +64,10 @@
 	return changes, err
 }
 
-// SnapshotPage is a part of the configuration as it stood at Index.
+// SnapshotPage is a part of the configuration as of Index.
 type SnapshotPage struct {
 	Index uint64 `json:"index"`
-	// Page counts from 0; Last is set on the last one.
+	// Page counts from 0. Last is set on the last page.
 	Page int  `json:"page"`
 	Last bool `json:"last,omitempty"`
 	// Changes is a packed []state.Change.
@@ -80,11 +81,11 @@
 type StandingReply struct {
 	Instance string             `json:"instance"`
 	Standing freshness.Standing `json:"standing"`
-	// ClockMillis is the instance's clock, in milliseconds since 1970.
+	// ClockMillis is the instance's clock, in milliseconds since the Unix epoch.
 	ClockMillis int64 `json:"clockMillis"`
 }
 
-// DaemonsRequest asks which daemons follow a control instance.
+// DaemonsRequest asks for the daemons that follow a control instance.
 type DaemonsRequest struct{}
 
 // DaemonsReply answers DaemonsRequest.
@@ -93,16 +94,16 @@
 	Daemons  []Daemon `json:"daemons"`
 }
 
-// Daemon is what a control instance knows of a daemon that follows it.
+// Daemon is what a control instance knows about a daemon that follows it.
 type Daemon struct {
 	Name        string          `json:"name"`
 	Scope       Scope           `json:"scope"`
 	ConfigIndex uint64          `json:"configIndex"`
 	Freshness   freshness.State `json:"freshness"`
-	// Lease is how long it admits after its last proof.
+	// Lease is how long the daemon admits requests after its last proof of freshness.
 	Lease time.Duration `json:"lease"`
-	// Unseen is the time since its last call. Lost is set once that is so
-	// long that it admits nothing any more.
+	// Unseen is the time since the daemon's last call. Lost is set once that is
+	// long enough that the daemon has certainly stopped admitting requests.
 	Unseen time.Duration `json:"unseen"`
 	Lost   bool          `json:"lost,omitempty"`
 }
--- a/internal/wire/fencing.go
+++ b/internal/wire/fencing.go
@@ -1,14 +1,13 @@
 package wire
 
-// MethodFence takes a Fence message from an agent.
+// MethodFence accepts a Fence message from an agent.
 const MethodFence = "fencing.issue"
 
-// Fence asks for the next fencing number of orders to a backend server's
-// engine. Sending it again issues a further number, which does no harm to its
-// holder.
+// Fence requests the next fencing number for orders to a backend server's
+// engine. Resending it issues another number, which is harmless to the holder.
 type Fence struct {
 	Server string `json:"server"`
-	// Holder names the process that will give the orders.
+	// Holder is the name of the process that will send the orders.
 	Holder string `json:"holder"`
 }
 
--- a/internal/wire/loads.go
+++ b/internal/wire/loads.go
@@ -2,21 +2,21 @@
 
 import "github.com/rosemarypass/rosemarypass/coord/broker"
 
-// MethodLoads takes a Loads message from an agent and waits, up to
-// WaitMillis, until it has a permit for one of the wanted loads.
+// MethodLoads accepts a Loads message from an agent and waits, up to
+// WaitMillis, until the agent has a permit for one of the wanted loads.
 const MethodLoads = "loads.sync"
 
-// Loads tells the load broker everything that an agent wants and holds.
+// Loads reports to the load broker all loads that an agent wants and has in flight.
 type Loads struct {
 	Report broker.Report `json:"report"`
-	// Sequence grows with every message of an agent's incarnation, so that a
-	// late one cannot undo a newer.
+	// Sequence increases with every message of an agent's incarnation, so that a
+	// delayed message cannot override a newer one.
 	Sequence   uint64 `json:"sequence"`
 	WaitMillis int64  `json:"waitMillis"`
 }
 
 // LoadsReply answers Loads.
 type LoadsReply struct {
-	// Granted lists the wanted orders that may load now.
+	// Granted lists the wanted orders that may start loading.
 	Granted []uint64 `json:"granted,omitempty"`
 }
--- a/internal/wire/pack.go
+++ b/internal/wire/pack.go
@@ -9,10 +9,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// maxUnpacked bounds a packed message once it is unpacked, in bytes.
+// maxUnpacked bounds the unpacked size of a packed message, in bytes.
 const maxUnpacked = 16 << 20
 
-// Pack encodes bulk data compactly: msgpack with structs as lists, deflated.
+// Pack encodes bulk data compactly, as deflated msgpack with structs as arrays.
 // Fields may only be added at the end of a struct that is packed.
 func Pack(value any) ([]byte, error) {
 	var buffer bytes.Buffer
@@ -33,8 +33,8 @@
 	return buffer.Bytes(), nil
 }
 
-// Unpack decodes what Pack wrote. Data that unpacks to more than a bound is
-// refused, so that a small message cannot fill the memory.
+// Unpack decodes data written by Pack. It refuses data that unpacks to more than
+// maxUnpacked bytes, so that a small message cannot exhaust the memory.
 func Unpack(data []byte, into any) error {
 	limited := io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxUnpacked)
 	decoder := msgpack.NewDecoder(limited)
--- a/internal/wire/pack_test.go
+++ b/internal/wire/pack_test.go
@@ -25,7 +25,7 @@
 	return d.Delta(0, 0, time.Unix(1, 0))
 }
 
-func TestPackKeepsEverything(t *testing.T) {
+func TestPackRoundTrip(t *testing.T) {
 	want := delta(3)
 	data, err := wire.Pack(want)
 	if err != nil {
--- a/internal/wire/quota.go
+++ b/internal/wire/quota.go
@@ -1,5 +1,5 @@
 package wire
 
-// MethodRenewQuota takes a quota.Renewal from an entry and answers a
-// quota.Reply. Only the control instance that owns the quotas accepts it.
+// MethodRenewQuota accepts a quota.Renewal from an entry and returns a
+// quota.Reply. Only the control instance that owns the quotas accepts renewals.
 const MethodRenewQuota = "quota.renew"
--- a/internal/wire/replica.go
+++ b/internal/wire/replica.go
@@ -4,11 +4,11 @@
 
 // Methods of the JSON-RPC interface between control instances.
 const (
-	// MethodReplicaMessages carries Envelopes.
+	// MethodReplicaMessages delivers an Envelope.
 	MethodReplicaMessages = "replica.messages"
-	// MethodReplicaSnapshot carries SnapshotParts.
+	// MethodReplicaSnapshot delivers a SnapshotPart.
 	MethodReplicaSnapshot = "replica.snapshot"
-	// MethodReplicaHello exchanges Hellos.
+	// MethodReplicaHello exchanges Hello messages.
 	MethodReplicaHello = "replica.hello"
 	// MethodReplicaPropose asks the leader to commit a command.
 	MethodReplicaPropose = "replica.propose"
@@ -22,54 +22,55 @@
 
 // Envelope carries messages of the replicated log to one control instance.
 type Envelope struct {
-	// Cluster is empty while the sender belongs to none.
+	// Cluster is empty while the sender does not belong to a cluster.
 	Cluster string `json:"cluster,omitempty"`
-	// Address is the sender's.
+	// Address is the sender's address.
 	Address  string           `json:"address"`
 	Messages []replog.Message `json:"messages"`
 }
 
 // SnapshotPart carries a part of a snapshot that is too large for one frame.
-// Parts come in order; the last one completes the message.
+// Parts are sent in order; the last one completes the message.
 type SnapshotPart struct {
 	Cluster string `json:"cluster,omitempty"`
 	Address string `json:"address"`
 	// Message is the snapshot message without the snapshot's data.
 	Message replog.Message `json:"message"`
-	// Offset is where Data belongs, Total the size of the whole, in bytes.
+	// Offset is the position of Data in the snapshot and Total the size of the
+	// whole snapshot, in bytes.
 	Offset int    `json:"offset"`
 	Total  int    `json:"total"`
 	Data   []byte `json:"data"`
 }
 
-// Empty is the answer to messages that need none.
+// Empty is the answer to messages that need no data in return.
 type Empty struct{}
 
 // Hello introduces a control instance.
 type Hello struct {
 	ID      replog.ID `json:"id"`
 	Address string    `json:"address"`
-	// Cluster is empty while the instance belongs to none.
+	// Cluster is empty while the instance does not belong to a cluster.
 	Cluster string `json:"cluster,omitempty"`
-	// Bootstrap is true when the instance may found a log.
+	// Bootstrap is true if the instance may bootstrap a new log.
 	Bootstrap bool `json:"bootstrap,omitempty"`
 }
 
-// ReplicaCode classifies how a forwarded call ended.
+// ReplicaCode is the outcome of a forwarded call.
 type ReplicaCode string
 
-// The codes of forwarded calls.
+// Outcomes of forwarded calls.
 const (
 	ReplicaOK ReplicaCode = "ok"
-	// ReplicaNotCommitted means that nothing was, or will be, committed.
+	// ReplicaNotCommitted means that nothing was or will be committed.
 	ReplicaNotCommitted ReplicaCode = "not-committed"
 	// ReplicaUnknown means that the command may still be committed.
 	ReplicaUnknown ReplicaCode = "unknown"
-	// ReplicaRefused means that a rule of the membership forbids a change.
+	// ReplicaRefused means that a membership rule forbids the change.
 	ReplicaRefused ReplicaCode = "refused"
 )
 
-// Propose asks for a command to be committed.
+// Propose requests that a command be committed.
 type Propose struct {
 	Data []byte `json:"data"`
 }
@@ -78,8 +79,8 @@
 type ProposeReply struct {
 	Code    ReplicaCode `json:"code"`
 	Message string      `json:"message,omitempty"`
-	// Index is that of the command in the log, Result what the state machine
-	// answered; both count only when Code says that it was applied.
+	// Index is the command's index in the log and Result the state machine's
+	// result. Both are valid only if Code says that the command was applied.
 	Index  uint64 `json:"index,omitempty"`
 	Result []byte `json:"result,omitempty"`
 }
@@ -88,14 +89,14 @@
 type ReadReply struct {
 	Code    ReplicaCode `json:"code"`
 	Message string      `json:"message,omitempty"`
-	// Index must be applied before a read is linearizable.
+	// Index is the index that must be applied before a read is linearizable.
 	Index uint64 `json:"index,omitempty"`
 }
 
-// MemberAction is a change of the membership.
+// MemberAction is a kind of membership change.
 type MemberAction string
 
-// The changes of the membership.
+// Kinds of membership changes.
 const (
 	MemberAdd      MemberAction = "add"
 	MemberPromote  MemberAction = "promote"
@@ -103,10 +104,11 @@
 	MemberTransfer MemberAction = "transfer"
 )
 
-// MemberChange asks for a change of the membership.
+// MemberChange requests a change of the membership.
 type MemberChange struct {
 	Action MemberAction `json:"action"`
-	// Member is an ID, or the name of an instance if only one member has it.
+	// Member is a member's ID, or the name of an instance if it is unique among the
+	// members.
 	Member string `json:"member"`
 }
 
@@ -116,47 +118,49 @@
 	Message string      `json:"message,omitempty"`
 }
 
-// MemberRole is what a control instance is to the log.
+// MemberRole is the role of a control instance in the log's membership.
 type MemberRole string
 
-// The roles of members.
+// Roles of members.
 const (
 	RoleLeader  MemberRole = "leader"
 	RoleVoter   MemberRole = "voter"
 	RoleLearner MemberRole = "learner"
-	// RoleWaiting is an instance that asked to join and was not added yet.
+	// RoleWaiting is an instance that has asked to join and has not been added yet.
 	RoleWaiting MemberRole = "waiting"
 )
 
-// Member is one line of the MemberList.
+// Member is one entry of the MemberList.
 type Member struct {
 	ID      replog.ID  `json:"id"`
 	Address string     `json:"address"`
 	Role    MemberRole `json:"role"`
-	// Match is the last index that is synced there, Lag the number of entries
-	// that are missing.
+	// Match is the last index that the member has synced, Lag the number of entries
+	// that it lacks.
 	Match uint64 `json:"match"`
 	Lag   uint64 `json:"lag"`
-	// ContactMillis is the time since it last answered, -1 when it never did.
+	// ContactMillis is the time since the member last answered, or -1 if it never
+	// has.
 	ContactMillis int64 `json:"contactMillis"`
-	// CaughtUp is true when it answers and has synced what is committed.
+	// CaughtUp is true if the member answers and has synced all committed entries.
 	CaughtUp bool `json:"caughtUp"`
 }
 
 // MemberList is the leader's view of the membership.
 type MemberList struct {
 	Cluster string `json:"cluster"`
-	// Leader is empty when the answering instance knows none; then the list
-	// is its own view, and nothing is known of the other members' state.
+	// Leader is empty if the answering instance knows no leader. The list is then
+	// the instance's own view, and the state of the other members is unknown.
 	Leader  replog.ID `json:"leader,omitempty"`
 	Term    uint64    `json:"term"`
 	Commit  uint64    `json:"commit"`
 	Quorum  int       `json:"quorum"`
 	Voters  int       `json:"voters"`
 	Members []Member  `json:"members"`
-	// Survivable is how many further voters may be lost now, counting only
-	// voters that answer and have synced what is committed.
+	// Survivable is the number of further voters whose loss can be tolerated now,
+	// counting only voters that answer and have synced all committed entries.
 	Survivable int `json:"survivable"`
-	// Failure is why the answering instance has stepped out, if it has.
+	// Failure is the reason why the answering instance has stopped taking part in
+	// the log, or empty if it has not.
 	Failure string `json:"failure,omitempty"`
 }
--- a/internal/wire/starts.go
+++ b/internal/wire/starts.go
@@ -1,41 +1,41 @@
 package wire
 
-// Methods that entries call at the agent beside an engine whose requests pass
-// the agent by.
+// Methods that entries call on the agent of an engine whose requests bypass the
+// agent.
 const (
-	// MethodStartAdmit asks for the start of a request and returns when it may
-	// start or is refused.
+	// MethodStartAdmit requests the start of a request and returns when the request
+	// may start or is refused.
 	MethodStartAdmit = "start.admit"
-	// MethodStartBegun tells that a request has produced its first event.
+	// MethodStartBegun reports that a request has produced its first event.
 	MethodStartBegun = "start.begun"
-	// MethodStartDone tells that a request has ended or is not wanted any more.
+	// MethodStartDone reports that a request has ended or is no longer wanted.
 	MethodStartDone = "start.done"
-	// MethodStartWatch returns the engine's state when it has changed.
+	// MethodStartWatch returns the engine's state once it has changed.
 	MethodStartWatch = "start.watch"
 )
 
-// StartRequest asks for a start.
+// StartRequest asks for permission to start a request.
 type StartRequest struct {
 	ID string `json:"id"`
-	// Try counts the starts that were asked for this request: an entry that asks
-	// again tells of the end of the one before at the same time.
+	// Try numbers the attempts to start this request. A new attempt also ends
+	// the one before it.
 	Try int `json:"try"`
-	// Adapter is model/adapter; empty for the base model alone.
+	// Adapter has the form model/adapter. It is empty for the base model alone.
 	Adapter string `json:"adapter,omitempty"`
-	// Version is the newest of the adapter that the entry has heard of, 0 when
-	// none was named: the agent may not have heard of it yet.
+	// Version is the newest version of the adapter that the entry knows, or 0 if
+	// it knows none. It is sent because the agent may not know that version yet.
 	Version int64 `json:"version,omitempty"`
-	// Rank orders waiting requests; 0 goes first.
+	// Rank orders waiting requests; rank 0 starts first.
 	Rank int `json:"rank,omitempty"`
-	// Prompt is the number of tokens to read, Tokens the most engine memory
-	// that it takes.
+	// Prompt is the number of prompt tokens to process, Tokens the maximum engine
+	// memory that the request takes, in tokens.
 	Prompt int `json:"prompt"`
 	Tokens int `json:"tokens"`
-	// Parts are the prompt's parts in order, which requests may share.
+	// Parts are the parts of the prompt in order. Requests may share parts.
 	Parts []PromptPart `json:"parts,omitempty"`
-	// TargetMillis is how long until its first event is hoped for.
+	// TargetMillis is the target for the time to the first event.
 	TargetMillis int64 `json:"targetMillis,omitempty"`
-	// WaitMillis is how long a start is of use.
+	// WaitMillis is how long the caller waits for the start.
 	WaitMillis int64 `json:"waitMillis"`
 }
 
@@ -48,18 +48,20 @@
 // StartReply grants or refuses a start.
 type StartReply struct {
 	Start bool `json:"start"`
-	// Reason says why not.
+	// Reason is why the start is refused.
 	Reason string `json:"reason,omitempty"`
-	// Version is the adapter's that the request will meet, 0 without one.
+	// Version is the adapter version that the request will run on, 0 without an
+	// adapter.
 	Version int64 `json:"version,omitempty"`
 }
 
-// StartDone names a request whose start has ended or begun to show events.
+// StartDone identifies a request that has ended or produced its first event.
 type StartDone struct {
 	ID  string `json:"id"`
 	Try int    `json:"try"`
 	// PauseMillis is the longest pause between two events of a stream that has
-	// ended, AllowedMillis the one that its route allows; 0 where none was seen.
+	// ended, AllowedMillis the longest pause that its route allows. They are 0 if
+	// no pause was measured.
 	PauseMillis   int64 `json:"pauseMillis,omitempty"`
 	AllowedMillis int64 `json:"allowedMillis,omitempty"`
 }
@@ -67,39 +69,40 @@
 // StartWatch asks for a state newer than Change.
 type StartWatch struct {
 	Change uint64 `json:"change"`
-	// HeldChange is that of the adapters that the caller knows.
+	// HeldChange is the HeldChange of the adapters that the caller knows.
 	HeldChange uint64 `json:"heldChange"`
 	WaitMillis int64  `json:"waitMillis"`
 }
 
-// EngineState is an engine as its agent sees it.
+// EngineState is the state of an engine as observed by its agent.
 type EngineState struct {
 	Change uint64 `json:"change"`
-	// Known is false until the engine has reported.
+	// Known is false until the engine has sent a report.
 	Known bool `json:"known"`
-	// Leaving is true when it takes no new work.
+	// Leaving is true if the engine accepts no new work.
 	Leaving bool `json:"leaving,omitempty"`
 	Running int  `json:"running"`
 	Waiting int  `json:"waiting"`
 	Tokens  int  `json:"tokens"`
-	// Batch and MemoryTokens are what the agent lets run at once.
+	// Batch and MemoryTokens limit the requests, and the tokens of engine memory,
+	// that the agent lets run at once.
 	Batch        int `json:"batch"`
 	MemoryTokens int `json:"memoryTokens"`
-	// DelayMillis is how long a start of each rank would wait now, apart from its
-	// adapter; the last one holds for all higher ranks.
+	// DelayMillis is the current waiting time of a start by rank, without the time
+	// to load its adapter. The last value applies to all higher ranks.
 	DelayMillis []int64 `json:"delayMillis"`
-	// PromptMillis is what 1,000 tokens of a prompt add to that.
+	// PromptMillis is the time that 1,000 prompt tokens add to that.
 	PromptMillis int64 `json:"promptMillis"`
-	// LoadMillis is how long an adapter that is asked for now would take to
-	// come, the loads before it included.
+	// LoadMillis is how long loading an adapter requested now would take,
+	// including the loads queued before it.
 	LoadMillis int64 `json:"loadMillis"`
-	// Models are the base models that it holds.
+	// Models are the base models that the engine has loaded.
 	Models []string `json:"models,omitempty"`
-	// HeldChange counts the changes of Held and Stale, which are left out where
-	// the caller knows them.
+	// HeldChange counts the changes of Held and Stale, which are omitted if the
+	// caller already knows them.
 	HeldChange uint64 `json:"heldChange"`
-	// Held are the adapters that start at once or after a load under way, Stale
-	// those that are held in an outdated version and in use.
+	// Held are the adapters whose requests can start immediately or after a load in
+	// progress, Stale those that are loaded in an outdated version and in use.
 	Held  []string `json:"held,omitempty"`
 	Stale []string `json:"stale,omitempty"`
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire holds the typed messages between the system's own processes and
-// the HTTP headers that entries, agents and engines share.
+// Package wire defines the messages between the system's own processes and the
+// HTTP headers that entries, agents and engines share.
 package wire
 
 import (
@@ -8,54 +8,55 @@
 
 // Methods of the JSON-RPC interface that control instances offer.
 const (
-	// MethodAnnounce takes an Announce message from an agent or service.
+	// MethodAnnounce accepts an Announce message from an agent or service.
 	MethodAnnounce = "directory.announce"
 	// MethodWatch is a long poll for configuration and directory changes.
 	MethodWatch = "feed.watch"
-	// MethodStanding asks a control instance for its standing in the log.
+	// MethodStanding returns a control instance's standing in the log.
 	MethodStanding = "control.standing"
 	// MethodDaemons lists the daemons that follow a control instance.
 	MethodDaemons = "control.daemons"
 )
 
-// PathRuns is the agent's path of a request that it runs, followed by the
-// request's id: GET reads its answer from QueryOffset on, DELETE cancels it.
+// PathRuns is the prefix of the agent's path for a running request. The request's
+// id follows it. GET reads the answer from QueryOffset, DELETE cancels the request.
 const PathRuns = "/v1/runs/"
 
-// QueryOffset is the first byte wanted of a running request's answer.
+// QueryOffset is the query parameter for the offset of the first byte to read from
+// a running request's answer.
 const QueryOffset = "offset"
 
 // HTTP headers between entry, agent and engine.
 const (
 	// HeaderRequestID identifies one request on every hop.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderModel carries the "adapter@version" that the request must run on.
+	// HeaderModel carries the "adapter@version" on which the request must run.
 	HeaderModel = "Rosemarypass-Model"
-	// HeaderRan carries the "adapter@version" that the answer came from.
+	// HeaderRan carries the "adapter@version" that produced the answer.
 	HeaderRan = "Rosemarypass-Ran"
 	// HeaderFencing carries the fencing number of an order to an engine.
 	HeaderFencing = "X-Fencing-Number"
-	// HeaderIncarnation carries the engine incarnation that an order or call
-	// is meant for, and in answers the one that served it.
+	// HeaderIncarnation carries the engine incarnation that an order or call is
+	// addressed to and, in answers, the incarnation that served it.
 	HeaderIncarnation = "X-Engine-Incarnation"
-	// HeaderTimeout is how long a caller waits for its answer, such as "2s".
+	// HeaderTimeout is how long a caller waits for its answer, for example "2s".
 	HeaderTimeout = "X-Request-Timeout"
-	// HeaderIdempotencyKey is the caller's key for a call that must run once.
+	// HeaderIdempotencyKey is the caller's key for a call that must run at most once.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderClause names the contract's clause that refused a request.
+	// HeaderClause names the clause of the contract under which a request was refused.
 	HeaderClause = "Rosemarypass-Clause"
-	// HeaderContract, HeaderShare and HeaderPriority tell an agent whose
-	// request it is, its weight in fair queueing and its priority.
+	// HeaderContract, HeaderShare and HeaderPriority give an agent the request's
+	// contract, its weight in fair queueing and its priority.
 	HeaderContract = "Rosemarypass-Contract"
 	HeaderShare    = "Rosemarypass-Share"
 	HeaderPriority = "Rosemarypass-Priority"
-	// HeaderMaxWait is the longest that the request may wait, in milliseconds.
+	// HeaderMaxWait is the maximum time that the request may wait, in milliseconds.
 	HeaderMaxWait = "Rosemarypass-Max-Wait"
-	// HeaderMayDecline lets an agent send a request back at once when it has
-	// no adapter slot to give; HeaderDeclined says that it did.
+	// HeaderMayDecline allows an agent to return a request immediately if it has
+	// no free adapter slot. HeaderDeclined reports that the agent did so.
 	HeaderMayDecline = "Rosemarypass-May-Decline"
 	HeaderDeclined   = "Rosemarypass-Declined"
-	// HeaderCost is the request's expected use, in tokens.
+	// HeaderCost is the expected cost of the request, in tokens.
 	HeaderCost = "Rosemarypass-Cost"
 )
 
@@ -66,6 +67,6 @@
 
 // AnnounceReply answers Announce.
 type AnnounceReply struct {
-	// Accepted is false when a newer announcement was already known.
+	// Accepted is false if a newer announcement was already known.
 	Accepted bool `json:"accepted"`
 }
