--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -70,14 +70,14 @@
 
 // Control is one control instance.
 type Control struct {
-	options Options
-	log     *zap.Logger
-	durable Log
-	clock   clockGuard
-	builder pageBuilder
-	members Membership
-	advice  *adviceMonitor
-	quotas  *Quotas
+	options    Options
+	log        *zap.Logger
+	commandLog Log
+	clock      clockGuard
+	builder    pageBuilder
+	members    Membership
+	advice     *adviceMonitor
+	quotas     *Quotas
 
 	mu          sync.Mutex
 	machine     *state.Machine
@@ -110,7 +110,7 @@
 		configChanged:    make(chan struct{}),
 		directoryChanged: make(chan struct{}),
 	}
-	c.durable = &localLog{control: c}
+	c.commandLog = &localLog{control: c}
 	c.advice = newAdviceMonitor(c.Servers)
 	return c
 }
--- a/internal/control/log.go
+++ b/internal/control/log.go
@@ -38,7 +38,7 @@
 
 // UseLog replaces the log. It must be called before Run. By default commands are
 // applied on this instance only and are lost when it stops.
-func (c *Control) UseLog(log Log) { c.durable = log }
+func (c *Control) UseLog(log Log) { c.commandLog = log }
 
 // Propose commits a command through the log and returns its result.
 func (c *Control) Propose(ctx context.Context, command state.Command) (state.Result, error) {
@@ -53,7 +53,7 @@
 	if err != nil {
 		return state.Result{}, err
 	}
-	answer, err := c.durable.Propose(ctx, data)
+	answer, err := c.commandLog.Propose(ctx, data)
 	if err != nil {
 		return state.Result{}, err
 	}
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -108,7 +108,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), readBarrierTimeout)
 		defer cancel()
-		if err := c.durable.Barrier(ctx); err != nil {
+		if err := c.commandLog.Barrier(ctx); err != nil {
 			unconfirmedReadCount.Add(1)
 			w.Header().Set(operator.UnconfirmedHeader, "true")
 		}
--- a/internal/control/pages.go
+++ b/internal/control/pages.go
@@ -82,7 +82,8 @@
 }
 
 // pagesUsable reports whether the tail reaches back to the existing pages and its
-// packed size exceeds neither theirs nor that of one message. The caller holds mu.
+// packed size is at most that of the pages or of one message, whichever is larger.
+// The caller holds mu.
 func (c *Control) pagesUsable() bool {
 	if c.pages == nil {
 		return false
--- a/internal/control/standing.go
+++ b/internal/control/standing.go
@@ -43,7 +43,7 @@
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	requested := time.Now()
-	if err := c.durable.Barrier(ctx); err != nil {
+	if err := c.commandLog.Barrier(ctx); err != nil {
 		unconfirmedCount.Add(1)
 		return
 	}
@@ -56,7 +56,7 @@
 // standing returns what this instance can prove in reply to a request that arrived
 // at the given time. The caller holds mu.
 func (c *Control) standing(arrived time.Time) freshness.Standing {
-	standing := c.durable.Standing()
+	standing := c.commandLog.Standing()
 	standing.ConfigIndex = c.machine.ConfigIndex()
 	if !c.confirmed.IsZero() && time.Since(c.confirmed) <= maxConfirmationAge {
 		standing.Confirmed = true
