--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -9,34 +9,37 @@
 	"github.com/rosemarypass/rosemarypass/coord/replog"
 )
 
-// applyItem is a snapshot to restore or entries to apply.
+// applyItem holds a snapshot to restore, or entries to apply and the callers
+// waiting for them.
 type applyItem struct {
 	snapshot *replog.Snapshot
 	entries  []replog.Entry
 	replies  []indexedReply
 }
 
+// indexedReply is the channel for the result of the entry at index.
 type indexedReply struct {
 	index uint64
-	reply chan<- proposeAnswer
+	reply chan<- proposeResult
 }
 
-// takenSnapshot is the state machine's state after an index.
-type takenSnapshot struct {
+// machineSnapshot is the state machine's state after applying the entry at index.
+type machineSnapshot struct {
 	index uint64
 	data  []byte
 }
 
-// runApply owns the state machine.
+// runApply is the goroutine that owns the state machine. It ends with the first
+// failure.
 func (r *Replica) runApply(ctx context.Context) {
 	sinceSnapshot := uint64(0)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case item := <-r.apply:
+		case item := <-r.applyQueue:
 			if err := r.applyItem(item); err != nil {
-				r.failed <- err
+				r.errs <- err
 				return
 			}
 			sinceSnapshot += uint64(len(item.entries))
@@ -59,28 +62,30 @@
 		}
 		r.applied.set(e.Index)
 		if len(replies) > 0 && replies[0].index == e.Index {
-			replies[0].reply <- proposeAnswer{index: e.Index, result: result}
+			replies[0].reply <- proposeResult{index: e.Index, result: result}
 			replies = replies[1:]
 		}
 	}
 	return nil
 }
 
-// takeSnapshot gives the core a snapshot, unless it still has one to take.
+// takeSnapshot passes a snapshot to the core, unless the core has not yet received
+// the previous one. It reports whether it did.
 func (r *Replica) takeSnapshot() bool {
-	if len(r.taken) > 0 {
+	if len(r.snapshots) > 0 {
 		return false
 	}
 	data, err := r.machine.Snapshot()
 	if err != nil {
-		r.failed <- errors.Wrap(err, "take a snapshot")
+		r.errs <- errors.Wrap(err, "take a snapshot")
 		return false
 	}
-	r.taken <- takenSnapshot{index: r.applied.load(), data: data}
+	r.snapshots <- machineSnapshot{index: r.applied.load(), data: data}
 	return true
 }
 
-// appliedIndex lets callers wait for entries to be applied.
+// appliedIndex is the index of the last applied entry. Callers can wait for it to
+// reach a value.
 type appliedIndex struct {
 	mu      sync.Mutex
 	index   uint64
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -17,7 +17,7 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// commandBytes is about the size of a contract change.
+// commandBytes is the approximate size of a contract change.
 const commandBytes = 300
 
 func cpuTime() time.Duration {
@@ -28,8 +28,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkPropose commits on three instances of this process, over loopback
-// and with real syncs.
+// BenchmarkPropose measures commits on three instances in this process, over
+// loopback and with real syncs.
 func BenchmarkPropose(b *testing.B) {
 	for _, group := range []int{1, 256} {
 		for _, clients := range []int{1, 16, 128} {
@@ -41,8 +41,8 @@
 	}
 }
 
-// BenchmarkSize is the slope over the number of instances.
-func BenchmarkSize(b *testing.B) {
+// BenchmarkClusterSize measures commits for different numbers of instances.
+func BenchmarkClusterSize(b *testing.B) {
 	for _, size := range []int{1, 3, 5, 9} {
 		b.Run(fmt.Sprintf("instances=%d", size), func(b *testing.B) {
 			c := newCluster(b, size, replica.Options{})
@@ -51,7 +51,7 @@
 	}
 }
 
-// BenchmarkForward commits through a follower.
+// BenchmarkForward measures commits through a follower.
 func BenchmarkForward(b *testing.B) {
 	for _, clients := range []int{1, 16, 128} {
 		b.Run(fmt.Sprintf("clients=%d", clients), func(b *testing.B) {
@@ -68,16 +68,16 @@
 	syncsBefore, callsBefore, cpuBefore := syncs.Value(), calls.Value(), cpuTime()
 	work := make(chan struct{})
 	latencies := make([][]time.Duration, clients)
-	var done sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range clients {
-		done.Go(func() {
+		wg.Go(func() {
 			data := make([]byte, commandBytes)
 			for range work {
-				began := time.Now()
+				start := time.Now()
 				if _, _, err := proposer.Propose(context.Background(), data); err != nil {
 					b.Error(err)
 				}
-				latencies[i] = append(latencies[i], time.Since(began))
+				latencies[i] = append(latencies[i], time.Since(start))
 			}
 		})
 	}
@@ -86,7 +86,7 @@
 		work <- struct{}{}
 	}
 	close(work)
-	done.Wait()
+	wg.Wait()
 	b.StopTimer()
 	all := slices.Concat(latencies...)
 	slices.Sort(all)
@@ -99,7 +99,7 @@
 	b.ReportMetric(float64((cpuTime()-cpuBefore).Microseconds())/n, "cpu-µs/commit")
 }
 
-// BenchmarkIdle is the cost at rest of instances in one process.
+// BenchmarkIdle measures the calls and CPU time of idle instances in one process.
 func BenchmarkIdle(b *testing.B) {
 	for _, size := range []int{3, 9} {
 		b.Run(fmt.Sprintf("instances=%d", size), func(b *testing.B) { benchmarkIdle(b, size) })
@@ -110,29 +110,29 @@
 	c := newCluster(b, size, replica.Options{})
 	c.propose(0, "ready")
 	calls := telemetry.Counter("replica_calls_sent")
-	const span = 5 * time.Second
+	const duration = 5 * time.Second
 	for b.Loop() {
 		callsBefore, cpuBefore := calls.Value(), cpuTime()
-		time.Sleep(span)
-		b.ReportMetric(float64(calls.Value()-callsBefore)/span.Seconds(), "calls/s")
-		b.ReportMetric(float64((cpuTime()-cpuBefore).Microseconds())/span.Seconds()/float64(size), "cpu-µs/s/instance")
+		time.Sleep(duration)
+		b.ReportMetric(float64(calls.Value()-callsBefore)/duration.Seconds(), "calls/s")
+		b.ReportMetric(float64((cpuTime()-cpuBefore).Microseconds())/duration.Seconds()/float64(size), "cpu-µs/s/instance")
 	}
 }
 
-// BenchmarkMessage encodes messages as they go over the connection.
+// BenchmarkMessage measures encoding and decoding messages in their wire format.
 func BenchmarkMessage(b *testing.B) {
 	id := replog.ID("control-amman-a.3b947a69e62e")
 	entry := replog.Entry{Index: 123456, Term: 12, Data: make([]byte, commandBytes)}
 	message := replog.Message{From: id, To: id, Term: 12, Index: 123456, LogTerm: 12, Commit: 123456}
-	heartbeat, reply, one, many := message, message, message, message
+	heartbeat, reply, single, many := message, message, message, message
 	heartbeat.Kind, heartbeat.Read, heartbeat.Sent = replog.KindHeartbeat, 100, 100000
 	reply.Kind, reply.Read, reply.Sent = replog.KindHeartbeatReply, 100, 100000
-	one.Kind, one.Entries = replog.KindAppend, []replog.Entry{entry}
+	single.Kind, single.Entries = replog.KindAppend, []replog.Entry{entry}
 	many.Kind, many.Entries = replog.KindAppend, slices.Repeat([]replog.Entry{entry}, 100)
 	cases := []struct {
 		name    string
 		message replog.Message
-	}{{"heartbeat", heartbeat}, {"reply", reply}, {"append-1", one}, {"append-100", many}}
+	}{{"heartbeat", heartbeat}, {"reply", reply}, {"append-1", single}, {"append-100", many}}
 	for _, c := range cases {
 		b.Run(c.name, func(b *testing.B) {
 			envelope := wire.Envelope{Cluster: "f67110d1-b6db-4e30-9ac7-6e06f511b018", Address: "10.0.1.11:7201", Messages: []replog.Message{c.message}}
--- a/internal/replica/core.go
+++ b/internal/replica/core.go
@@ -18,44 +18,46 @@
 	committedCount  = telemetry.Counter("replica_entries_committed")
 )
 
-// request is something that a caller wants of the core. Exactly one of serve
-// and refuse is called.
+// request is a caller's request to the core. Exactly one of serve and refuse is
+// called.
 type request interface {
 	serve(*core)
 	refuse(error)
 }
 
-// waiter is a caller that waits for its entry to be applied.
+// waiter is a caller waiting for its entry to be applied.
 type waiter struct {
 	term  uint64
-	reply chan<- proposeAnswer
+	reply chan<- proposeResult
 }
 
-// core is the duty that owns the node.
+// core is the state of the goroutine that owns the node.
 type core struct {
 	*Replica
-	// toDisk and toApply wait for room in the rings.
+	// toDisk and toApply hold the items that wait for room in the channels.
 	toDisk  []diskItem
 	toApply []applyItem
-	// unsynced waits until it is on disk that its entries are committed.
+	// unsynced holds the items that wait until the commit of their entries is
+	// recorded on disk.
 	unsynced []unsyncedApply
-	// waiters are the callers by index; one that lost its leadership and won it
-	// back may have several at an index, of different terms.
-	waiters map[uint64][]waiter
-	reads   map[uint64]chan<- readAnswer
-	read    uint64
-	leader  replog.ID
-	role    replog.Role
+	// waiters holds the waiting callers by index. A leader that lost its leadership
+	// and regained it can have several at one index, with different terms.
+	waiters  map[uint64][]waiter
+	reads    map[uint64]chan<- readResult
+	lastRead uint64
+	leader   replog.ID
+	role     replog.Role
 }
 
-// unsyncedApply is handed out once the Ready with its sequence is on disk.
+// unsyncedApply is passed to the state machine once the Ready with its sequence is
+// on disk.
 type unsyncedApply struct {
 	sequence uint64
 	item     applyItem
 }
 
 func newCore(r *Replica) *core {
-	return &core{Replica: r, waiters: make(map[uint64][]waiter), reads: make(map[uint64]chan<- readAnswer)}
+	return &core{Replica: r, waiters: make(map[uint64][]waiter), reads: make(map[uint64]chan<- readResult)}
 }
 
 func (c *core) run(ctx context.Context) {
@@ -64,9 +66,9 @@
 	for {
 		select {
 		case <-ctx.Done():
-			c.end(errStopped)
+			c.failAll(errStopped)
 			return
-		case err := <-c.failed:
+		case err := <-c.errs:
 			c.stepOut(ctx, err)
 			return
 		case <-ticker.C:
@@ -77,21 +79,22 @@
 		case r := <-c.requests:
 			r.serve(c)
 		case sequence := <-c.synced:
-			c.takeSynced(sequence)
-		case s := <-c.taken:
+			c.handleSynced(sequence)
+		case s := <-c.snapshots:
 			c.compact(s)
-		case ringFor(c.disk, c.toDisk) <- first(c.toDisk):
+		case sendChan(c.diskQueue, c.toDisk) <- head(c.toDisk):
 			c.toDisk = c.toDisk[1:]
-		case ringFor(c.apply, c.toApply) <- first(c.toApply):
+		case sendChan(c.applyQueue, c.toApply) <- head(c.toApply):
 			c.toApply = c.toApply[1:]
 		}
-		c.drain()
-		c.process()
+		c.receivePending()
+		c.processReady()
 	}
 }
 
-// drain takes what else has arrived, so that it shares messages and a sync.
-func (c *core) drain() {
+// receivePending handles everything else that has already arrived, so that it
+// shares messages and a sync.
+func (c *core) receivePending() {
 	for range c.options.MaxGroup - 1 {
 		select {
 		case messages := <-c.inbox:
@@ -99,15 +102,15 @@
 		case r := <-c.requests:
 			r.serve(c)
 		case sequence := <-c.synced:
-			c.takeSynced(sequence)
+			c.handleSynced(sequence)
 		default:
 			return
 		}
 	}
 }
 
-// takeSynced lets go what had to be on disk first.
-func (c *core) takeSynced(sequence uint64) {
+// handleSynced releases the items that waited for the sync of the given sequence.
+func (c *core) handleSynced(sequence uint64) {
 	c.node.Synced(sequence)
 	for len(c.unsynced) > 0 && c.unsynced[0].sequence <= sequence {
 		c.toApply = append(c.toApply, c.unsynced[0].item)
@@ -115,9 +118,9 @@
 	}
 }
 
-// handOut gives a Ready's snapshot or entries to the state machine, at once or
-// with the Ready's sync.
-func (c *core) handOut(ready replog.Ready, item applyItem) {
+// enqueueApply passes a Ready's snapshot or entries to the state machine,
+// immediately or, with PersistCommit, after the Ready is synced.
+func (c *core) enqueueApply(ready replog.Ready, item applyItem) {
 	if c.options.PersistCommit && ready.NeedsSync() {
 		c.unsynced = append(c.unsynced, unsyncedApply{sequence: ready.Sequence, item: item})
 		return
@@ -125,26 +128,27 @@
 	c.toApply = append(c.toApply, item)
 }
 
-// ringFor is nil, which a select passes over, when nothing waits.
-func ringFor[T any](ring chan<- T, waiting []T) chan<- T {
-	if len(waiting) == 0 {
+// sendChan returns ch, or nil if nothing is pending. A select ignores a send on a
+// nil channel.
+func sendChan[T any](ch chan<- T, pending []T) chan<- T {
+	if len(pending) == 0 {
 		return nil
 	}
-	return ring
+	return ch
 }
 
-// first is the zero value, which ringFor keeps from being sent, when nothing
-// waits.
-func first[T any](waiting []T) T {
-	if len(waiting) == 0 {
+// head returns the first pending item. If nothing is pending it returns the zero
+// value, which is never sent because sendChan then returns nil.
+func head[T any](pending []T) T {
+	if len(pending) == 0 {
 		var zero T
 		return zero
 	}
-	return waiting[0]
+	return pending[0]
 }
 
-// backlogged is true when the disk or the state machine is far behind. Appends
-// and proposals are then pushed back; heartbeats and votes are not.
+// backlogged reports whether the disk or the state machine is far behind. Appends
+// and proposals are then rejected; heartbeats and votes are not.
 func (c *core) backlogged() bool {
 	return len(c.toDisk) >= maxBacklog || len(c.toApply)+len(c.unsynced) >= maxBacklog
 }
@@ -160,8 +164,9 @@
 	}
 }
 
-// process hands out the node's work.
-func (c *core) process() {
+// processReady distributes the node's pending work to the peers, the disk and the
+// state machine.
+func (c *core) processReady() {
 	for ready, ok := c.node.Ready(); ok; ready, ok = c.node.Ready() {
 		if ready.NeedsSync() {
 			c.publishEnd()
@@ -172,20 +177,21 @@
 			c.toDisk = append(c.toDisk, diskItem{ready: ready, config: config})
 		}
 		if ready.Snapshot != nil {
-			c.handOut(ready, applyItem{snapshot: ready.Snapshot})
-			c.endCovered(ready.Snapshot.Index)
+			c.enqueueApply(ready, applyItem{snapshot: ready.Snapshot})
+			c.failCovered(ready.Snapshot.Index)
 		}
 		if slices.ContainsFunc(ready.Committed, func(e replog.Entry) bool { return e.Config != nil }) {
 			c.publish()
 		}
-		c.handOutCommitted(ready)
+		c.enqueueCommitted(ready)
 		c.answerReads(ready)
 	}
-	c.noteLeader()
+	c.publishLeader()
 }
 
-// handOutCommitted gives entries to the state machine, with their waiters.
-func (c *core) handOutCommitted(ready replog.Ready) {
+// enqueueCommitted passes a Ready's committed entries to the state machine,
+// together with their waiters.
+func (c *core) enqueueCommitted(ready replog.Ready) {
 	entries := ready.Committed
 	if len(entries) == 0 {
 		return
@@ -197,20 +203,20 @@
 			if w.term == e.Term {
 				item.replies = append(item.replies, indexedReply{index: e.Index, reply: w.reply})
 			} else {
-				w.reply <- proposeAnswer{err: notCommitted(errors.New("another leader's entry took the place"))}
+				w.reply <- proposeResult{err: notCommitted(errors.New("another leader's entry took the place"))}
 			}
 		}
 		delete(c.waiters, e.Index)
 	}
-	c.handOut(ready, item)
+	c.enqueueApply(ready, item)
 }
 
-// endCovered answers the waiters whose entries a snapshot covers: whether they
-// are in it is not known here.
-func (c *core) endCovered(index uint64) {
-	for at := range c.waiters {
-		if at <= index {
-			c.endWaiters(at, errors.New("a snapshot took the place of the entry"))
+// failCovered fails the waiters at the indexes that a snapshot covers: it is not
+// known whether the snapshot contains their entries or those of another leader.
+func (c *core) failCovered(index uint64) {
+	for entryIndex := range c.waiters {
+		if entryIndex <= index {
+			c.failWaiters(entryIndex, errors.New("a snapshot took the place of the entry"))
 		}
 	}
 }
@@ -218,20 +224,21 @@
 func (c *core) answerReads(ready replog.Ready) {
 	for _, read := range ready.Reads {
 		if reply := c.reads[read.ID]; reply != nil {
-			reply <- readAnswer{index: read.Index}
+			reply <- readResult{index: read.Index}
 			delete(c.reads, read.ID)
 		}
 	}
 	for _, id := range ready.FailedReads {
 		if reply := c.reads[id]; reply != nil {
-			reply <- readAnswer{err: replog.ErrNotLeader}
+			reply <- readResult{err: replog.ErrNotLeader}
 			delete(c.reads, id)
 		}
 	}
 }
 
-// noteLeader publishes and logs changes of the leader and of the own role.
-func (c *core) noteLeader() {
+// publishLeader publishes the status if the leader or the instance's own role has
+// changed, and logs a new leader.
+func (c *core) publishLeader() {
 	role, leader := c.node.Role(), c.node.Leader()
 	if role == c.role && leader == c.leader {
 		return
@@ -244,38 +251,38 @@
 	c.role, c.leader = role, leader
 }
 
-// await lets a caller wait for the entry at an index and term.
-func (c *core) await(index, term uint64, reply chan<- proposeAnswer) {
+// addWaiter registers a caller that waits for the entry at an index and term.
+func (c *core) addWaiter(index, term uint64, reply chan<- proposeResult) {
 	c.waiters[index] = append(c.waiters[index], waiter{term: term, reply: reply})
 }
 
-func (c *core) compact(s takenSnapshot) {
-	snapshot := c.node.Compact(s.index, s.data)
-	c.toDisk = append(c.toDisk, diskItem{compact: &snapshot})
+func (c *core) compact(s machineSnapshot) {
+	compacted := c.node.Compact(s.index, s.data)
+	c.toDisk = append(c.toDisk, diskItem{compact: &compacted})
 }
 
-// endWaiters tells the callers at an index that their fate is unknown.
-func (c *core) endWaiters(index uint64, cause error) {
+// failWaiters answers the callers at an index with ErrUnknown and a cause.
+func (c *core) failWaiters(index uint64, cause error) {
 	for _, w := range c.waiters[index] {
-		w.reply <- proposeAnswer{err: unknownFate(cause)}
+		w.reply <- proposeResult{err: unknownOutcome(cause)}
 	}
 	delete(c.waiters, index)
 }
 
-// end answers everyone who waits.
-func (c *core) end(cause error) {
+// failAll fails all waiting proposals and reads.
+func (c *core) failAll(cause error) {
 	for index := range c.waiters {
-		c.endWaiters(index, cause)
+		c.failWaiters(index, cause)
 	}
 	for id, reply := range c.reads {
 		delete(c.reads, id)
-		reply <- readAnswer{err: cause}
+		reply <- readResult{err: cause}
 	}
 }
 
 // stepOut stops voting, acknowledging and leading after the disk or the state
-// machine has failed: whatever this member said from now on could be a lie
-// after a restart. The others notice by missing heartbeats.
+// machine has failed: anything that this member promised from then on might not
+// hold after a restart. The other members detect it by the missing heartbeats.
 func (c *core) stepOut(ctx context.Context, cause error) {
 	reason := cause.Error()
 	c.failure.Store(&reason)
@@ -286,13 +293,13 @@
 	status.Survivable = 0
 	c.status.Store(&status)
 	survivableGauge.Set(-1)
-	c.end(errSteppedOut)
+	c.failAll(errSteppedOut)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-c.inbox:
-		case <-c.taken:
+		case <-c.snapshots:
 		case <-c.synced:
 		case r := <-c.requests:
 			r.refuse(errSteppedOut)
--- a/internal/replica/core_test.go
+++ b/internal/replica/core_test.go
@@ -9,41 +9,41 @@
 	"github.com/rosemarypass/rosemarypass/coord/replog"
 )
 
-// A leader loses its leadership with a proposal under way, wins it back, and
-// another proposal gets the same index. Each caller must learn its own fate:
-// mixed up, an operator would believe in a change that was never made.
-func TestEachCallerAtAnIndexLearnsItsOwnFate(t *testing.T) {
+// A leader loses its leadership while a proposal is pending and regains it, and a
+// second proposal gets the same index. Each caller must get the result of its own
+// proposal; otherwise an operator would see a change confirmed that was never made.
+func TestCallersAtSameIndexGetOwnResult(t *testing.T) {
 	c := newCore(&Replica{})
-	lost, won := make(chan proposeAnswer, 1), make(chan proposeAnswer, 1)
-	c.await(10, 1, lost)
-	c.await(10, 3, won)
-	c.handOutCommitted(replog.Ready{Committed: []replog.Entry{{Index: 10, Term: 3, Data: []byte("x")}}})
-	if answer := <-lost; !errors.Is(answer.err, ErrNotCommitted) {
-		t.Errorf("the earlier caller got %+v", answer)
+	first, second := make(chan proposeResult, 1), make(chan proposeResult, 1)
+	c.addWaiter(10, 1, first)
+	c.addWaiter(10, 3, second)
+	c.enqueueCommitted(replog.Ready{Committed: []replog.Entry{{Index: 10, Term: 3, Data: []byte("x")}}})
+	if answer := <-first; !errors.Is(answer.err, ErrNotCommitted) {
+		t.Errorf("first caller got %+v, want ErrNotCommitted", answer)
 	}
-	if replies := c.toApply[0].replies; len(replies) != 1 || replies[0].reply != won {
-		t.Errorf("the state machine answers %+v", replies)
+	if replies := c.toApply[0].replies; len(replies) != 1 || replies[0].reply != second {
+		t.Errorf("replies of the state machine = %+v, want only the second caller", replies)
 	}
 
-	covered := make(chan proposeAnswer, 1)
-	c.await(11, 3, covered)
-	c.endCovered(20)
+	covered := make(chan proposeResult, 1)
+	c.addWaiter(11, 3, covered)
+	c.failCovered(20)
 	if answer := <-covered; !errors.Is(answer.err, ErrUnknown) {
-		t.Errorf("the caller that a snapshot covers got %+v", answer)
+		t.Errorf("caller covered by a snapshot got %+v, want ErrUnknown", answer)
 	}
 }
 
-// A peer that was frozen gets all that it missed. In one call the encoding of some megabytes stayed in the leader's
-// memory for good: each call carries a bounded part, and every message is sent once and in order.
-func TestWhatAPeerMissedIsSentInBoundedParts(t *testing.T) {
+// A peer that was unresponsive receives its whole backlog. Sent in a single call, several megabytes of encoding would
+// remain in the leader's memory permanently. Each call must be bounded, and every message sent once and in order.
+func TestBacklogIsSentInBoundedCalls(t *testing.T) {
 	const messages, size = 40, 100 << 10
-	lane := make(chan replog.Message, messages)
+	queue := make(chan replog.Message, messages)
 	for i := range messages {
-		lane <- replog.Message{Kind: replog.KindAppend, Index: uint64(i), Entries: []replog.Entry{{Data: make([]byte, size)}}}
+		queue <- replog.Message{Kind: replog.KindAppend, Index: uint64(i), Entries: []replog.Entry{{Data: make([]byte, size)}}}
 	}
 	var sent []uint64
-	for len(lane) > 0 {
-		part, _ := collect(<-lane, lane)
+	for len(queue) > 0 {
+		part, _ := collect(<-queue, queue)
 		bytes := 0
 		for _, m := range part {
 			sent = append(sent, m.Index)
@@ -54,6 +54,6 @@
 		}
 	}
 	if len(sent) != messages || !slices.IsSorted(sent) {
-		t.Errorf("sent were %v", sent)
+		t.Errorf("message indexes sent: %v", sent)
 	}
 }
--- a/internal/replica/disk.go
+++ b/internal/replica/disk.go
@@ -15,34 +15,34 @@
 	stepOuts       = telemetry.Counter("replica_step_outs")
 )
 
-// diskItem is a Ready to persist, or a snapshot to compact the log with.
+// diskItem is a Ready to persist, or a snapshot with which to compact the log.
 type diskItem struct {
 	ready   replog.Ready
 	config  replog.Config
 	compact *replog.Snapshot
 }
 
-// runDisk persists groups of items, each with one sync, then sends what had to
-// wait for that. It ends with the first failure.
+// runDisk persists items in groups, with one sync for each group, then sends the
+// messages that had to wait for the sync. It ends with the first failure.
 func (r *Replica) runDisk(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-r.disk:
-			if err := r.persist(ctx, r.group(first)); err != nil {
-				r.failed <- err
+		case first := <-r.diskQueue:
+			if err := r.persist(ctx, r.receiveGroup(first)); err != nil {
+				r.errs <- err
 				return
 			}
 		}
 	}
 }
 
-func (r *Replica) group(first diskItem) []diskItem {
+func (r *Replica) receiveGroup(first diskItem) []diskItem {
 	items := []diskItem{first}
 	for len(items) < r.options.MaxGroup {
 		select {
-		case next := <-r.disk:
+		case next := <-r.diskQueue:
 			items = append(items, next)
 		default:
 			return items
@@ -74,7 +74,7 @@
 		case <-ctx.Done():
 		}
 	}
-	return r.compactDisk(items)
+	return r.compactLog(items)
 }
 
 func lastSequence(items []diskItem) uint64 {
@@ -85,9 +85,9 @@
 	return last
 }
 
-// compactDisk follows the appends of its group, so that the snapshot's entries
-// are on disk before any of them is deleted.
-func (r *Replica) compactDisk(items []diskItem) error {
+// compactLog runs after the appends of its group, so that the entries covered by a
+// snapshot are on disk before any of them is deleted.
+func (r *Replica) compactLog(items []diskItem) error {
 	for _, item := range items {
 		if item.compact == nil {
 			continue
--- a/internal/replica/forward.go
+++ b/internal/replica/forward.go
@@ -10,12 +10,12 @@
 	"github.com/rosemarypass/rosemarypass/internal/rpc"
 )
 
-// maxIdleClients bounds the connections that are kept for one address.
+// maxIdleClients limits the number of idle connections kept per address.
 const maxIdleClients = 32
 
-// clientPool keeps connections for forwarded calls. Each carries one call at a
-// time: a call that ends without its answer closes its connection, and must not
-// leave others with an unknown fate.
+// clientPool keeps connections for forwarded calls. Each connection carries one call
+// at a time: a call that ends without its answer closes the connection, and must
+// not leave the outcome of other calls unknown.
 type clientPool struct {
 	options []rpc.ClientOption
 
@@ -28,15 +28,15 @@
 	return &clientPool{options: options, idle: make(map[string][]*rpc.Client)}
 }
 
-func (p *clientPool) take(address string) *rpc.Client {
+func (p *clientPool) get(address string) *rpc.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := p.idle[address]
-	if len(kept) == 0 {
+	idle := p.idle[address]
+	if len(idle) == 0 {
 		return rpc.NewClient(address, p.options...)
 	}
-	client := kept[len(kept)-1]
-	p.idle[address] = kept[:len(kept)-1]
+	client := idle[len(idle)-1]
+	p.idle[address] = idle[:len(idle)-1]
 	return client
 }
 
@@ -54,28 +54,28 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for address, kept := range p.idle {
-		for _, client := range kept {
+	for address, clients := range p.idle {
+		for _, client := range clients {
 			client.Close()
 		}
 		delete(p.idle, address)
 	}
 }
 
-// forward calls another instance, the leader as a rule. A connection that could
-// not be made has carried nothing; after any other failure the leader may have
-// taken the call.
+// forward calls another instance, usually the leader. If the connection could not be
+// established, nothing was sent and the error is ErrNotCommitted; after any other
+// failure the other instance may have executed the call, and the error is ErrUnknown.
 func (r *Replica) forward(ctx context.Context, address, method string, in, out any) error {
-	client := r.pool.take(address)
+	client := r.pool.get(address)
 	err := client.Call(ctx, method, in, out)
 	if err == nil {
 		r.pool.put(address, client)
 		return nil
 	}
 	client.Close()
-	var dial *net.OpError
-	if errors.As(err, &dial) && dial.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return notCommitted(err)
 	}
-	return unknownFate(err)
+	return unknownOutcome(err)
 }
--- a/internal/replica/handlers.go
+++ b/internal/replica/handlers.go
@@ -11,8 +11,8 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// forwardedTimeout bounds a forwarded call at the leader; the caller's own limit
-// does not come along.
+// forwardedTimeout limits the duration of a forwarded call on the leader; the
+// caller's own deadline is not transmitted.
 const forwardedTimeout = 10 * time.Second
 
 var foreignMessages = telemetry.Counter("replica_messages_foreign")
@@ -20,33 +20,33 @@
 // Handlers returns the JSON-RPC methods that other control instances call.
 func (r *Replica) Handlers() map[string]rpc.Handler {
 	return map[string]rpc.Handler{
-		wire.MethodReplicaMessages: rpc.Typed(r.takeEnvelope),
-		wire.MethodReplicaSnapshot: rpc.Typed(r.takeSnapshotPart),
-		wire.MethodReplicaHello:    rpc.Typed(r.takeHello),
-		wire.MethodReplicaPropose:  rpc.Typed(r.takeProposal),
-		wire.MethodReplicaRead:     rpc.Typed(r.takeRead),
-		wire.MethodReplicaMembers:  rpc.Typed(r.takeMembers),
-		wire.MethodReplicaChange:   rpc.Typed(r.takeChange),
+		wire.MethodReplicaMessages: rpc.Typed(r.handleEnvelope),
+		wire.MethodReplicaSnapshot: rpc.Typed(r.handleSnapshotPart),
+		wire.MethodReplicaHello:    rpc.Typed(r.handleHello),
+		wire.MethodReplicaPropose:  rpc.Typed(r.handleProposal),
+		wire.MethodReplicaRead:     rpc.Typed(r.handleRead),
+		wire.MethodReplicaMembers:  rpc.Typed(r.handleMembers),
+		wire.MethodReplicaChange:   rpc.Typed(r.handleChange),
 	}
 }
 
-// Methods are the names of what Handlers returns.
+// Methods holds the names of the methods that Handlers returns.
 var Methods = []string{
 	wire.MethodReplicaMessages, wire.MethodReplicaSnapshot, wire.MethodReplicaHello, wire.MethodReplicaPropose,
 	wire.MethodReplicaRead, wire.MethodReplicaMembers, wire.MethodReplicaChange,
 }
 
-// Handle answers one of Methods, for a caller that replaces replicas behind its
-// own handlers.
+// Handle calls the handler of one of Methods. It is for callers that register their
+// own handlers and replace the replica behind them.
 func (r *Replica) Handle(ctx context.Context, method string, params json.RawMessage) (any, error) {
 	return r.handlers[method](ctx, params)
 }
 
-// takeEnvelope gives messages to the core. Those of another log are dropped: a
-// data folder or an address that was mixed up must not join two logs.
-func (r *Replica) takeEnvelope(_ context.Context, in wire.Envelope) (wire.Empty, error) {
-	own := r.Status().Config.Cluster
-	if own != "" && in.Cluster != "" && own != in.Cluster {
+// handleEnvelope passes messages to the core. Messages of another log are dropped:
+// a swapped data folder or address must not merge two logs.
+func (r *Replica) handleEnvelope(_ context.Context, in wire.Envelope) (wire.Empty, error) {
+	cluster := r.Status().Config.Cluster
+	if cluster != "" && in.Cluster != "" && cluster != in.Cluster {
 		foreignMessages.Add(int64(len(in.Messages)))
 		return wire.Empty{}, nil
 	}
@@ -63,50 +63,50 @@
 	return wire.Empty{}, nil
 }
 
-func (r *Replica) takeSnapshotPart(ctx context.Context, in wire.SnapshotPart) (wire.Empty, error) {
-	message, err := r.assembly.add(in)
+func (r *Replica) handleSnapshotPart(ctx context.Context, in wire.SnapshotPart) (wire.Empty, error) {
+	message, err := r.assembler.add(in)
 	if err != nil || message == nil {
 		return wire.Empty{}, err
 	}
-	return r.takeEnvelope(ctx, wire.Envelope{Cluster: in.Cluster, Address: in.Address, Messages: []replog.Message{*message}})
+	return r.handleEnvelope(ctx, wire.Envelope{Cluster: in.Cluster, Address: in.Address, Messages: []replog.Message{*message}})
 }
 
-func (r *Replica) takeHello(_ context.Context, in wire.Hello) (wire.Hello, error) {
+func (r *Replica) handleHello(_ context.Context, in wire.Hello) (wire.Hello, error) {
 	if in.Cluster == "" {
 		r.waiting.add(replog.Member{ID: in.ID, Address: in.Address})
 	}
 	return r.hello(), nil
 }
 
-// takeProposal commits a forwarded command. It is not forwarded again, so that
-// two instances that take each other for the leader do not loop.
-func (r *Replica) takeProposal(ctx context.Context, in wire.Propose) (wire.ProposeReply, error) {
+// handleProposal commits a forwarded command. It does not forward the command again,
+// so that two instances that each consider the other the leader do not loop.
+func (r *Replica) handleProposal(ctx context.Context, in wire.Propose) (wire.ProposeReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardedTimeout)
 	defer cancel()
-	index, result, err := r.proposeHere(ctx, in.Data)
+	index, result, err := r.proposeLocally(ctx, in.Data)
 	code, message := codeOf(err)
 	return wire.ProposeReply{Code: code, Message: message, Index: index, Result: result}, nil
 }
 
-func (r *Replica) takeRead(ctx context.Context, _ wire.Empty) (wire.ReadReply, error) {
+func (r *Replica) handleRead(ctx context.Context, _ wire.Empty) (wire.ReadReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardedTimeout)
 	defer cancel()
-	index, err := r.confirmHere(ctx)
+	index, err := r.confirmLocally(ctx)
 	code, message := codeOf(err)
 	return wire.ReadReply{Code: code, Message: message, Index: index}, nil
 }
 
-func (r *Replica) takeMembers(context.Context, wire.Empty) (wire.MemberList, error) {
+func (r *Replica) handleMembers(context.Context, wire.Empty) (wire.MemberList, error) {
 	return r.ownMembers(r.Status()), nil
 }
 
-func (r *Replica) takeChange(ctx context.Context, in wire.MemberChange) (wire.MemberChangeReply, error) {
+func (r *Replica) handleChange(ctx context.Context, in wire.MemberChange) (wire.MemberChangeReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardedTimeout)
 	defer cancel()
 	if r.Status().Role != replog.Leader {
 		code, message := codeOf(notCommitted(replog.ErrNotLeader))
 		return wire.MemberChangeReply{Code: code, Message: message}, nil
 	}
-	code, message := codeOf(r.changeHere(ctx, in))
+	code, message := codeOf(r.changeLocally(ctx, in))
 	return wire.MemberChangeReply{Code: code, Message: message}, nil
 }
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -12,7 +12,7 @@
 
 type changeRequest struct {
 	change func(*replog.Node) (index, term uint64, err error)
-	reply  chan proposeAnswer
+	reply  chan proposeResult
 }
 
 func (q changeRequest) serve(c *core) {
@@ -21,15 +21,15 @@
 		q.refuse(err)
 		return
 	}
-	c.await(index, term, q.reply)
+	c.addWaiter(index, term, q.reply)
 }
 
 func (q changeRequest) refuse(err error) {
 	if errors.Is(err, replog.ErrNotLeader) || errors.Is(err, errSteppedOut) || errors.Is(err, errStopped) {
-		q.reply <- proposeAnswer{err: notCommitted(err)}
+		q.reply <- proposeResult{err: notCommitted(err)}
 		return
 	}
-	q.reply <- proposeAnswer{err: refused(err)}
+	q.reply <- proposeResult{err: refused(err)}
 }
 
 type transferRequest struct {
@@ -42,19 +42,21 @@
 		q.refuse(err)
 		return
 	}
-	// Whoever relies on the lease must see its end before the request leaves.
+	// Readers that rely on the leader lease must see its end before the transfer
+	// request is sent.
 	c.publish()
 	q.reply <- nil
 }
 
 func (q transferRequest) refuse(err error) { q.reply <- refused(err) }
 
-// AddLearner adds a control instance that receives the log without counting.
+// AddLearner adds a control instance that receives the log but does not count
+// towards the quorum.
 func (r *Replica) AddLearner(ctx context.Context, m replog.Member) error {
 	return r.change(ctx, func(n *replog.Node) (uint64, uint64, error) { return n.AddLearner(m) })
 }
 
-// Promote makes a learner that has caught up a voter.
+// Promote turns a learner that has caught up into a voter.
 func (r *Replica) Promote(ctx context.Context, id replog.ID) error {
 	return r.change(ctx, func(n *replog.Node) (uint64, uint64, error) { return n.Promote(id) })
 }
@@ -64,22 +66,23 @@
 	return r.change(ctx, func(n *replog.Node) (uint64, uint64, error) { return n.Remove(id) })
 }
 
-// TransferLeadership begins to hand the leadership to another voter.
+// TransferLeadership starts a transfer of the leadership to another voter.
 func (r *Replica) TransferLeadership(ctx context.Context, id replog.ID) error {
 	return r.transfer(ctx, id)
 }
 
-// change runs on the leader only and returns when the change is committed.
+// change makes a membership change and returns once it is committed. It succeeds
+// only on the leader.
 func (r *Replica) change(ctx context.Context, f func(*replog.Node) (uint64, uint64, error)) error {
-	q := changeRequest{change: f, reply: make(chan proposeAnswer, 1)}
+	q := changeRequest{change: f, reply: make(chan proposeResult, 1)}
 	if err := r.submit(q); err != nil {
 		return notCommitted(err)
 	}
 	select {
-	case answer := <-q.reply:
-		return answer.err
+	case res := <-q.reply:
+		return res.err
 	case <-ctx.Done():
-		return unknownFate(ctx.Err())
+		return unknownOutcome(ctx.Err())
 	}
 }
 
@@ -92,15 +95,16 @@
 	case err := <-q.reply:
 		return err
 	case <-ctx.Done():
-		return unknownFate(ctx.Err())
+		return unknownOutcome(ctx.Err())
 	}
 }
 
-// ChangeMembers carries out a change, here or through the leader.
+// ChangeMembers makes a membership change, locally on the leader and forwarded to
+// the leader elsewhere.
 func (r *Replica) ChangeMembers(ctx context.Context, change wire.MemberChange) error {
 	status := r.Status()
 	if status.Role == replog.Leader {
-		return r.changeHere(ctx, change)
+		return r.changeLocally(ctx, change)
 	}
 	address, err := r.leaderAddress(status)
 	if err != nil {
@@ -113,7 +117,7 @@
 	return codeError(reply.Code, reply.Message)
 }
 
-func (r *Replica) changeHere(ctx context.Context, change wire.MemberChange) error {
+func (r *Replica) changeLocally(ctx context.Context, change wire.MemberChange) error {
 	member, err := r.resolve(change)
 	if err != nil {
 		return refused(err)
@@ -132,7 +136,7 @@
 	}
 }
 
-// resolve finds the member that a change names, by ID or by instance name.
+// resolve returns the member that a change refers to by ID or by instance name.
 func (r *Replica) resolve(change wire.MemberChange) (replog.Member, error) {
 	candidates := r.candidates(change.Action)
 	var found []replog.Member
@@ -140,7 +144,7 @@
 		if string(m.ID) == change.Member {
 			return m, nil
 		}
-		if instanceOf(m.ID) == change.Member {
+		if instanceName(m.ID) == change.Member {
 			found = append(found, m)
 		}
 	}
@@ -154,8 +158,9 @@
 	}
 }
 
-// candidates are the members that an action can be done to. An instance that
-// came back with an empty disk shares its name with the member it was.
+// candidates returns the members to which an action can apply. Restricting them by
+// action helps to tell members apart by name: an instance that returned with an
+// empty disk has the same name as its former member.
 func (r *Replica) candidates(action wire.MemberAction) []replog.Member {
 	config := r.Status().Config
 	switch action {
@@ -170,15 +175,15 @@
 	}
 }
 
-// instanceOf is the name in a member's ID.
-func instanceOf(id replog.ID) string {
-	at := strings.LastIndexByte(string(id), '.')
-	return string(id)[:max(at, 0)]
+// instanceName returns the instance name contained in a member's ID.
+func instanceName(id replog.ID) string {
+	dot := strings.LastIndexByte(string(id), '.')
+	return string(id)[:max(dot, 0)]
 }
 
-// Members returns the leader's view of the membership, or this instance's own
+// Members returns the leader's view of the membership, or this instance's own view
 // while no leader can be reached. An instance that belongs to no log, or has
-// stepped out, knows no leader, so it asks all others.
+// stepped out, knows no leader and therefore asks all other instances.
 func (r *Replica) Members(ctx context.Context) wire.MemberList {
 	status := r.Status()
 	own := r.ownMembers(status)
@@ -202,7 +207,8 @@
 	return own
 }
 
-// askMembers reports whether the instance at an address leads.
+// askMembers returns the member list of the instance at an address, and reports
+// whether the list names a leader.
 func (r *Replica) askMembers(ctx context.Context, address string) (wire.MemberList, bool) {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
--- a/internal/replica/peers.go
+++ b/internal/replica/peers.go
@@ -20,39 +20,43 @@
 )
 
 const (
-	// laneSize bounds the messages that wait for a peer; when full, new ones
-	// are dropped, and the core sends again what matters.
-	laneSize = 256
-	// envelopeMessages and envelopeBytes bound one call. Its encoding takes several times
-	// its size at both ends, and a peer that was away gets all that it missed at once.
+	// queueSize limits the messages in one queue; when it is full, new ones are
+	// dropped, and the core retransmits what is still needed.
+	queueSize = 256
+	// envelopeMessages and envelopeBytes limit the size of one call. Encoding takes several
+	// times that size in memory on both sides, and a peer that was unreachable has a large
+	// backlog to receive.
 	envelopeMessages = 64
 	envelopeBytes    = 256 << 10
-	// maxLearnt bounds the senders that are remembered beside the configuration.
-	maxLearnt = 64
-	// callTimeout bounds one call; a peer that is cut off silently costs no more.
+	// maxLearned limits the sender addresses that are kept in addition to those in the
+	// configuration.
+	maxLearned = 64
+	// callTimeout limits the duration of one call, also to a peer that is partitioned
+	// without a connection error.
 	callTimeout = 2 * time.Second
-	// retryPause follows a failed call, so that a peer that is down is not
+	// retryDelay is the wait after a failed call, so that a peer that is down is not
 	// dialled in a tight loop.
-	retryPause = 50 * time.Millisecond
+	retryDelay = 50 * time.Millisecond
 )
 
-// peers sends messages, by two lanes to each address.
+// peers sends messages to the other members, through two queues per address.
 type peers struct {
 	address string
 	options []rpc.ClientOption
-	// partBytes is the size of a part of a snapshot.
+	// partBytes is the size of one part of a snapshot.
 	partBytes int
 	cluster   atomic.Pointer[string]
-	stop      context.CancelFunc
+	cancel    context.CancelFunc
 	ctx       context.Context
-	duties    sync.WaitGroup
+	wg        sync.WaitGroup
 
 	mu        sync.Mutex
 	addresses map[replog.ID]string
-	lanes     map[laneKey]chan replog.Message
+	queues    map[queueKey]chan replog.Message
 }
 
-type laneKey struct {
+// queueKey identifies a queue; bulk selects the one for appends and snapshots.
+type queueKey struct {
 	address string
 	bulk    bool
 }
@@ -60,23 +64,23 @@
 func newPeers(options Options) *peers {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &peers{
-		address: options.Address, options: options.RPC, partBytes: options.PartBytes, ctx: ctx, stop: cancel,
-		addresses: make(map[replog.ID]string), lanes: make(map[laneKey]chan replog.Message),
+		address: options.Address, options: options.RPC, partBytes: options.PartBytes, ctx: ctx, cancel: cancel,
+		addresses: make(map[replog.ID]string), queues: make(map[queueKey]chan replog.Message),
 	}
 	p.cluster.Store(new(string))
 	return p
 }
 
-// learn remembers where a member that may not be in the configuration is.
+// learn records the address of a sender, which may not be in the configuration.
 func (p *peers) learn(id replog.ID, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, known := p.addresses[id]; known || len(p.addresses) < maxLearnt {
+	if _, known := p.addresses[id]; known || len(p.addresses) < maxLearned {
 		p.addresses[id] = address
 	}
 }
 
-// send puts messages on their lanes. It never blocks.
+// send enqueues messages for their recipients. It never blocks.
 func (p *peers) send(config replog.Config, messages []replog.Message) {
 	if len(messages) == 0 {
 		return
@@ -90,14 +94,15 @@
 			continue
 		}
 		select {
-		case p.lane(laneKey{address: address, bulk: isBulk(m)}) <- m:
+		case p.queue(queueKey{address: address, bulk: isBulk(m)}) <- m:
 		default:
 			droppedMessages.Add(1)
 		}
 	}
 }
 
-// isBulk tells appends with entries and snapshots from all that must not wait.
+// isBulk reports whether m is an append or a snapshot. All other messages must not
+// wait behind these.
 func isBulk(m replog.Message) bool {
 	return m.Kind == replog.KindSnapshot || m.Kind == replog.KindAppend
 }
@@ -111,19 +116,19 @@
 	return p.addresses[id]
 }
 
-// lane returns a lane, which begins to work when it is first used. The caller
+// queue returns the queue for key and starts its sender on first use. The caller
 // holds mu.
-func (p *peers) lane(key laneKey) chan<- replog.Message {
-	if lane, ok := p.lanes[key]; ok {
-		return lane
+func (p *peers) queue(key queueKey) chan<- replog.Message {
+	if queue, ok := p.queues[key]; ok {
+		return queue
 	}
-	lane := make(chan replog.Message, laneSize)
-	p.lanes[key] = lane
-	p.duties.Go(func() { p.runLane(key.address, lane) })
-	return lane
+	queue := make(chan replog.Message, queueSize)
+	p.queues[key] = queue
+	p.wg.Go(func() { p.runQueue(key.address, queue) })
+	return queue
 }
 
-func (p *peers) runLane(address string, lane <-chan replog.Message) {
+func (p *peers) runQueue(address string, queue <-chan replog.Message) {
 	client := rpc.NewClient(address, p.options...)
 	defer client.Close()
 	snapshots := snapshotSender{peers: p, client: client}
@@ -131,22 +136,23 @@
 		select {
 		case <-p.ctx.Done():
 			return
-		case first := <-lane:
-			messages, snapshot := collect(first, lane)
+		case first := <-queue:
+			messages, snapshot := collect(first, queue)
 			err := p.call(client, messages)
 			if err == nil && snapshot != nil {
 				err = snapshots.send(*snapshot)
 			}
 			if err != nil {
 				failedCalls.Add(1)
-				_ = wait.For(p.ctx, retryPause)
+				_ = wait.For(p.ctx, retryDelay)
 			}
 		}
 	}
 }
 
-// collect takes messages that share a call, up to a snapshot, which goes alone.
-func collect(first replog.Message, lane <-chan replog.Message) (messages []replog.Message, snapshot *replog.Message) {
+// collect receives the messages that share one call. It stops at a snapshot, which is
+// sent separately.
+func collect(first replog.Message, queue <-chan replog.Message) (messages []replog.Message, snapshot *replog.Message) {
 	size := 0
 	for m := first; ; {
 		if m.Kind == replog.KindSnapshot {
@@ -160,7 +166,7 @@
 			return messages, nil
 		}
 		select {
-		case m = <-lane:
+		case m = <-queue:
 		default:
 			return messages, nil
 		}
@@ -180,6 +186,6 @@
 }
 
 func (p *peers) close() {
-	p.stop()
-	p.duties.Wait()
+	p.cancel()
+	p.wg.Wait()
 }
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -11,17 +11,16 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// Errors of Propose and of the members' calls. A caller distinguishes them with
-// errors.Is.
+// Errors of Propose and of the membership calls, to be tested with errors.Is.
 var (
-	// ErrNotCommitted means that the command was not committed and never will be.
+	// ErrNotCommitted means that the command was not committed and will never be.
 	ErrNotCommitted = errors.New("not committed")
-	// ErrUnknown means that the command may have been committed or may still be.
-	// A resend is safe if the command itself can be told from its copy.
+	// ErrUnknown means that the command may already be committed or may still be
+	// committed. Retrying is safe if duplicates of the command can be recognized.
 	ErrUnknown = errors.New("unknown whether it was committed")
-	// ErrRefused means that a rule of the membership forbids a change.
+	// ErrRefused means that the rules for membership changes forbid the change.
 	ErrRefused = errors.New("refused")
-	// ErrBusy means that a bounded ring is full; nothing was committed.
+	// ErrBusy means that a bounded queue is full; nothing was committed.
 	ErrBusy = errors.New("too many calls wait")
 )
 
@@ -31,29 +30,30 @@
 	errNoLeader   = errors.New("no leader is known")
 )
 
-// fateError is ErrNotCommitted, ErrUnknown or ErrRefused with its cause.
-type fateError struct{ fate, cause error }
+// outcomeError combines ErrNotCommitted, ErrUnknown or ErrRefused with its cause.
+type outcomeError struct{ outcome, cause error }
 
 // Error implements error.
-func (e *fateError) Error() string { return e.fate.Error() + ": " + e.cause.Error() }
+func (e *outcomeError) Error() string { return e.outcome.Error() + ": " + e.cause.Error() }
 
-// Unwrap gives both to errors.Is.
-func (e *fateError) Unwrap() []error { return []error{e.fate, e.cause} }
+// Unwrap returns the outcome and the cause, so that errors.Is matches both.
+func (e *outcomeError) Unwrap() []error { return []error{e.outcome, e.cause} }
 
-func notCommitted(cause error) error { return &fateError{ErrNotCommitted, cause} }
-func unknownFate(cause error) error  { return &fateError{ErrUnknown, cause} }
-func refused(cause error) error      { return &fateError{ErrRefused, cause} }
+func notCommitted(cause error) error   { return &outcomeError{ErrNotCommitted, cause} }
+func unknownOutcome(cause error) error { return &outcomeError{ErrUnknown, cause} }
+func refused(cause error) error        { return &outcomeError{ErrRefused, cause} }
 
-// leaderPause is the wait before another try while no leader is known.
-const leaderPause = 50 * time.Millisecond
+// leaderRetryInterval is the wait before the next attempt while no leader is known.
+const leaderRetryInterval = 50 * time.Millisecond
 
-// maxCommandBytes bounds a command, so that its message fits into a frame.
+// maxCommandBytes limits the size of a command, so that its message fits into a frame.
 const maxCommandBytes = 4 << 20
 
-// minElectionWait leaves time for an election on a busy machine.
-const minElectionWait = 2 * time.Second
+// minLeaderTimeout is the minimum of leaderTimeout; it leaves time for an election on a
+// busy machine.
+const minLeaderTimeout = 2 * time.Second
 
-type proposeAnswer struct {
+type proposeResult struct {
 	index  uint64
 	result []byte
 	err    error
@@ -61,7 +61,7 @@
 
 type proposeRequest struct {
 	data  []byte
-	reply chan proposeAnswer
+	reply chan proposeResult
 }
 
 func (p proposeRequest) serve(c *core) {
@@ -74,47 +74,49 @@
 		p.refuse(err)
 		return
 	}
-	c.await(index, term, p.reply)
+	c.addWaiter(index, term, p.reply)
 }
 
-func (p proposeRequest) refuse(err error) { p.reply <- proposeAnswer{err: notCommitted(err)} }
+func (p proposeRequest) refuse(err error) { p.reply <- proposeResult{err: notCommitted(err)} }
 
-// Propose commits a command, here or through the leader, and returns the index
-// and what the state machine answered. While it is certain that nothing was
-// committed it tries again, for as long as an election may take. Errors are
-// ErrNotCommitted or ErrUnknown.
+// Propose commits a command, locally on the leader and forwarded to the leader
+// elsewhere, and returns its index and the state machine's result. As long as it is
+// certain that nothing was committed, it retries for the time that an election can
+// take. The errors are ErrNotCommitted and ErrUnknown.
 func (r *Replica) Propose(ctx context.Context, data []byte) (index uint64, result []byte, err error) {
 	if len(data) == 0 || len(data) > maxCommandBytes {
 		return 0, nil, notCommitted(errors.Errorf("a command of %d bytes is not accepted", len(data)))
 	}
-	for deadline := time.Now().Add(r.electionWait()); ; {
+	for deadline := time.Now().Add(r.leaderTimeout()); ; {
 		index, result, err = r.proposeOnce(ctx, data)
-		if err == nil || !errors.Is(err, ErrNotCommitted) || !passing(err) {
+		if err == nil || !errors.Is(err, ErrNotCommitted) || !retryable(err) {
 			return index, result, err
 		}
-		_ = wait.For(ctx, leaderPause)
+		_ = wait.For(ctx, leaderRetryInterval)
 		if ctx.Err() != nil || time.Now().After(deadline) {
 			return 0, nil, err
 		}
 	}
 }
 
-// electionWait is how long a caller waits for a leader. Without a quorum it is
-// told so well before its own patience ends.
-func (r *Replica) electionWait() time.Duration {
+// leaderTimeout returns how long a caller waits for a leader: three election
+// timeouts, at least minLeaderTimeout. Without a quorum, callers thus receive an
+// error well before their own timeouts.
+func (r *Replica) leaderTimeout() time.Duration {
 	elections := 3 * time.Duration(r.options.ElectionTicks) * r.options.TickInterval
-	return max(elections, minElectionWait)
+	return max(elections, minLeaderTimeout)
 }
 
-// passing is true for what a later try may not meet any more.
-func passing(err error) bool {
+// retryable reports whether Propose and ReadIndex retry after err: not if this instance
+// is stopping, has stepped out or is busy.
+func retryable(err error) bool {
 	return !errors.Is(err, errSteppedOut) && !errors.Is(err, errStopped) && !errors.Is(err, ErrBusy)
 }
 
 func (r *Replica) proposeOnce(ctx context.Context, data []byte) (uint64, []byte, error) {
 	status := r.Status()
 	if status.Role == replog.Leader {
-		return r.proposeHere(ctx, data)
+		return r.proposeLocally(ctx, data)
 	}
 	address, err := r.leaderAddress(status)
 	if err != nil {
@@ -127,20 +129,21 @@
 	return reply.Index, reply.Result, codeError(reply.Code, reply.Message)
 }
 
-func (r *Replica) proposeHere(ctx context.Context, data []byte) (uint64, []byte, error) {
-	p := proposeRequest{data: data, reply: make(chan proposeAnswer, 1)}
+func (r *Replica) proposeLocally(ctx context.Context, data []byte) (uint64, []byte, error) {
+	p := proposeRequest{data: data, reply: make(chan proposeResult, 1)}
 	if err := r.submit(p); err != nil {
 		return 0, nil, notCommitted(err)
 	}
 	select {
-	case answer := <-p.reply:
-		return answer.index, answer.result, answer.err
+	case res := <-p.reply:
+		return res.index, res.result, res.err
 	case <-ctx.Done():
-		return 0, nil, unknownFate(ctx.Err())
+		return 0, nil, unknownOutcome(ctx.Err())
 	}
 }
 
-// submit gives the core a request, or refuses it when the ring is full.
+// submit passes a request to the core. It returns ErrBusy if the request queue is
+// full.
 func (r *Replica) submit(request request) error {
 	if r.Failure() != "" {
 		return errSteppedOut
@@ -174,7 +177,7 @@
 	case wire.ReplicaRefused:
 		return refused(errors.New(message))
 	default:
-		return unknownFate(errors.New(message))
+		return unknownOutcome(errors.New(message))
 	}
 }
 
@@ -191,11 +194,12 @@
 	}
 }
 
-// causeOf is the text that the caller's side puts behind the fate again.
+// causeOf returns the text of the cause alone; the receiver of the reply combines it
+// with the outcome again.
 func causeOf(err error) string {
-	var fate *fateError
-	if errors.As(err, &fate) {
-		return fate.cause.Error()
+	var outcomeErr *outcomeError
+	if errors.As(err, &outcomeErr) {
+		return outcomeErr.cause.Error()
 	}
 	return err.Error()
 }
--- a/internal/replica/read.go
+++ b/internal/replica/read.go
@@ -10,45 +10,45 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-type readAnswer struct {
+type readResult struct {
 	index uint64
 	err   error
 }
 
-type readRequest struct{ reply chan readAnswer }
+type readRequest struct{ reply chan readResult }
 
 func (q readRequest) serve(c *core) {
-	c.read++
-	if err := c.node.ReadIndex(c.read); err != nil {
+	c.lastRead++
+	if err := c.node.ReadIndex(c.lastRead); err != nil {
 		q.refuse(err)
 		return
 	}
-	c.reads[c.read] = q.reply
+	c.reads[c.lastRead] = q.reply
 }
 
-func (q readRequest) refuse(err error) { q.reply <- readAnswer{err: err} }
+func (q readRequest) refuse(err error) { q.reply <- readResult{err: err} }
 
-// ReadIndex returns once a quorum has confirmed an index and every entry up to
-// it is applied here: a read of the state machine that follows sees every
-// command that was committed anywhere before the call. It tries again until ctx
-// ends, as leaders change.
+// ReadIndex returns once a quorum has confirmed an index and every entry up to that
+// index is applied locally: a subsequent read of the state machine sees every
+// command that was committed on any instance before the call. It retries across
+// leader changes until ctx is done.
 func (r *Replica) ReadIndex(ctx context.Context) (uint64, error) {
 	for {
 		index, err := r.confirmIndex(ctx)
 		if err == nil {
 			return index, r.applied.wait(ctx, index)
 		}
-		if !passing(err) || ctx.Err() != nil {
+		if !retryable(err) || ctx.Err() != nil {
 			return 0, err
 		}
-		_ = wait.For(ctx, leaderPause)
+		_ = wait.For(ctx, leaderRetryInterval)
 	}
 }
 
 func (r *Replica) confirmIndex(ctx context.Context) (uint64, error) {
 	status := r.Status()
 	if status.Role == replog.Leader {
-		return r.confirmHere(ctx)
+		return r.confirmLocally(ctx)
 	}
 	address, err := r.leaderAddress(status)
 	if err != nil {
@@ -61,14 +61,14 @@
 	return reply.Index, codeError(reply.Code, reply.Message)
 }
 
-func (r *Replica) confirmHere(ctx context.Context) (uint64, error) {
-	q := readRequest{reply: make(chan readAnswer, 1)}
+func (r *Replica) confirmLocally(ctx context.Context) (uint64, error) {
+	q := readRequest{reply: make(chan readResult, 1)}
 	if err := r.submit(q); err != nil {
 		return 0, err
 	}
 	select {
-	case answer := <-q.reply:
-		return answer.index, answer.err
+	case res := <-q.reply:
+		return res.index, res.err
 	case <-ctx.Done():
 		return 0, errors.Wrap(ctx.Err(), "no quorum confirmed the read")
 	}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,6 +1,7 @@
-// Package replica runs a control instance's part of the replicated log: one
-// duty for the core, one for the disk, one for applying, and two for each peer
-// that messages go to, so that heartbeats never wait behind bulk appends.
+// Package replica runs a control instance's member of the replicated log. It uses
+// one goroutine for the consensus core, one for the disk, one for the state
+// machine, and two for each peer, so that heartbeats never wait behind bulk
+// appends.
 package replica
 
 import (
@@ -20,56 +21,57 @@
 	"github.com/rosemarypass/rosemarypass/internal/wal"
 )
 
-// StateMachine is what committed commands are applied to. It must be
-// deterministic: the same commands give the same state on every instance. One
-// goroutine calls it.
+// StateMachine executes the committed commands. It must be deterministic: the
+// same commands must result in the same state on every instance. It is called
+// from a single goroutine.
 type StateMachine interface {
-	// Apply executes the command that was committed at an index.
+	// Apply executes the command committed at index and returns its result.
 	Apply(index uint64, data []byte) []byte
-	// Snapshot returns the whole state.
+	// Snapshot returns the complete state.
 	Snapshot() ([]byte, error)
-	// Restore replaces the whole state.
+	// Restore replaces the complete state.
 	Restore(data []byte) error
 }
 
-// Options configure a replica.
+// Options configures a Replica.
 type Options struct {
 	// Instance names the control instance.
 	Instance string
-	// Address is where the other control instances reach this one.
+	// Address is the address at which the other control instances reach this one.
 	Address string
 	// Peers are the addresses of all control instances.
 	Peers []string
-	// Bootstrap lets this instance found the log, once every peer has answered
-	// that it has none.
+	// Bootstrap allows this instance to found the log once every peer has answered
+	// that it belongs to none.
 	Bootstrap bool
-	// Founders, when set, replaces Peers and Bootstrap where nobody was told of
-	// all control instances. It is asked once by an instance that belongs to no
-	// log, returns when the matter is settled, and reports whether to found a
-	// log, and with whom.
+	// Founders, if set, replaces Peers and Bootstrap in deployments without a
+	// configured list of all control instances. An instance that belongs to no log
+	// calls it once. It returns when the founding is decided and reports whether
+	// this instance founds a log, and with which members.
 	Founders func(ctx context.Context, self replog.Member) (members []replog.Member, found bool)
-	// Folder is the data folder; FS is the file system, the system's by default.
+	// Folder is the data folder. FS defaults to the operating system's file system.
 	Folder string
 	FS     wal.FS
-	// TickInterval is the unit of the timings below.
+	// TickInterval is the duration of one tick, the unit of ElectionTicks and
+	// HeartbeatTicks.
 	TickInterval time.Duration
-	// ElectionTicks and HeartbeatTicks are those of the core.
+	// ElectionTicks and HeartbeatTicks are passed to replog.Options.
 	ElectionTicks  int
 	HeartbeatTicks int
-	// PersistCommit applies an entry only once it is on disk that it is committed: a
-	// restarted instance then begins with all that it had applied, and waits for
-	// no leader. It costs each change the time of another sync.
+	// PersistCommit delays applying an entry until its commit is recorded on disk: a
+	// restarted instance then resumes with every entry that it had applied, without
+	// waiting for a leader. It adds the latency of one sync to each change.
 	PersistCommit bool
-	// SnapshotEntries is how many entries are applied between snapshots.
+	// SnapshotEntries is the number of entries applied between two snapshots.
 	SnapshotEntries uint64
-	// SegmentBytes is the size at which a new file of the log begins.
+	// SegmentBytes is the size at which the log starts a new file.
 	SegmentBytes int
-	// MaxGroup bounds how many proposals, and how many batches, share a sync.
+	// MaxGroup limits the number of proposals, and of batches, that share a sync.
 	MaxGroup int
-	// PartBytes is the size of a part of a snapshot under way; a whole one may
-	// exceed what a process accepts as one frame.
+	// PartBytes is the size of the parts in which a snapshot is sent; a complete
+	// snapshot can exceed the maximum frame size.
 	PartBytes int
-	// RPC are options of the connections to other control instances.
+	// RPC holds the options of the connections to other control instances.
 	RPC []rpc.ClientOption
 }
 
@@ -82,17 +84,18 @@
 	defaultPartBytes       = 1 << 20
 )
 
-// Sizes of the rings between the duties.
+// Capacities of the channels between the goroutines.
 const (
-	// inboxSize: when full, messages are dropped; the core sends them again.
+	// inboxSize: when full, messages are dropped; the sender's core retransmits them.
 	inboxSize = 1024
-	// requestSize: when full, callers are refused with ErrBusy.
-	requestSize = 4096
-	// diskSize and applySize: when full, work is kept in the core, which takes
-	// on no more appends and proposals above maxBacklog.
-	diskSize  = 256
-	applySize = 64
-	// maxBacklog bounds what waits in the core for the disk or for applying.
+	// requestQueueSize: when full, calls fail with ErrBusy.
+	requestQueueSize = 4096
+	// diskQueueSize and applyQueueSize: when full, work stays in the core, which
+	// accepts no further appends and proposals above maxBacklog.
+	diskQueueSize  = 256
+	applyQueueSize = 64
+	// maxBacklog limits the items that wait in the core for the disk, and those
+	// that wait for the state machine.
 	maxBacklog = 1024
 )
 
@@ -117,7 +120,7 @@
 	}
 }
 
-// Replica is one control instance's part of the log.
+// Replica is one control instance's member of the replicated log.
 type Replica struct {
 	options Options
 	log     *zap.Logger
@@ -126,18 +129,18 @@
 	self    replog.Member
 	node    *replog.Node
 
-	inbox    chan []replog.Message
-	requests chan request
-	disk     chan diskItem
-	synced   chan uint64
-	failed   chan error
-	apply    chan applyItem
-	taken    chan takenSnapshot
-	peers    *peers
-	waiting  *waitingTable
-	pool     *clientPool
-	assembly assembly
-	handlers map[string]rpc.Handler
+	inbox      chan []replog.Message
+	requests   chan request
+	diskQueue  chan diskItem
+	synced     chan uint64
+	errs       chan error
+	applyQueue chan applyItem
+	snapshots  chan machineSnapshot
+	peers      *peers
+	waiting    *waitingTable
+	pool       *clientPool
+	assembler  snapshotAssembler
+	handlers   map[string]rpc.Handler
 
 	status  atomic.Pointer[replog.Status]
 	failure atomic.Pointer[string]
@@ -145,12 +148,12 @@
 	end     atomic.Pointer[End]
 }
 
-// End is where a log ends.
+// End describes the end of a log.
 type End struct {
 	Term uint64
-	// Last is the last entry, committed or not.
+	// Last is the index of the last entry, committed or not.
 	Last uint64
-	// Config is the last membership in the log, committed or not.
+	// Config is the latest membership in the log, committed or not.
 	Config replog.Config
 }
 
@@ -163,21 +166,21 @@
 		return nil, err
 	}
 	r := &Replica{
-		options:  options,
-		log:      log,
-		machine:  machine,
-		wal:      folder,
-		self:     replog.Member{ID: folder.Identity().ID(), Address: options.Address},
-		inbox:    make(chan []replog.Message, inboxSize),
-		requests: make(chan request, requestSize),
-		disk:     make(chan diskItem, diskSize),
-		synced:   make(chan uint64, diskSize),
-		failed:   make(chan error, 2),
-		apply:    make(chan applyItem, applySize),
-		taken:    make(chan takenSnapshot, 1),
-		waiting:  newWaitingTable(),
-		pool:     newClientPool(options.RPC),
-		applied:  newAppliedIndex(),
+		options:    options,
+		log:        log,
+		machine:    machine,
+		wal:        folder,
+		self:       replog.Member{ID: folder.Identity().ID(), Address: options.Address},
+		inbox:      make(chan []replog.Message, inboxSize),
+		requests:   make(chan request, requestQueueSize),
+		diskQueue:  make(chan diskItem, diskQueueSize),
+		synced:     make(chan uint64, diskQueueSize),
+		errs:       make(chan error, 2),
+		applyQueue: make(chan applyItem, applyQueueSize),
+		snapshots:  make(chan machineSnapshot, 1),
+		waiting:    newWaitingTable(),
+		pool:       newClientPool(options.RPC),
+		applied:    newAppliedIndex(),
 	}
 	r.peers = newPeers(options)
 	r.handlers = r.Handlers()
@@ -188,7 +191,7 @@
 	return r, nil
 }
 
-// restore makes the node and the state machine what the folder says.
+// restore initializes the node and the state machine from the persisted state.
 func (r *Replica) restore(restored replog.Restored) error {
 	if s := restored.Snapshot; s != nil {
 		if err := r.restoreMachine(*s); err != nil {
@@ -222,37 +225,38 @@
 	return nil
 }
 
-// Run works until ctx ends and closes the data folder.
+// Run runs the replica until ctx is done, then closes the data folder.
 func (r *Replica) Run(ctx context.Context) {
 	defer r.wal.Close()
-	r.enter(ctx)
+	r.bootstrap(ctx)
 	if ctx.Err() != nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var duties sync.WaitGroup
-	duties.Go(func() { r.runDisk(ctx) })
-	duties.Go(func() { r.runApply(ctx) })
-	duties.Go(func() { r.runHello(ctx) })
+	var wg sync.WaitGroup
+	wg.Go(func() { r.runDisk(ctx) })
+	wg.Go(func() { r.runApply(ctx) })
+	wg.Go(func() { r.runHello(ctx) })
 	newCore(r).run(ctx)
 	cancel()
-	duties.Wait()
+	wg.Wait()
 	r.peers.close()
 	r.pool.close()
 }
 
-// ID is the member's identity.
+// ID returns the member's ID.
 func (r *Replica) ID() replog.ID { return r.self.ID }
 
-// Status is the core's state as of its last tick or change of role. It does not
+// Status returns the core's state as of its last tick or role change. It does not
 // block.
 func (r *Replica) Status() replog.Status { return *r.status.Load() }
 
-// Applied is the index of the last entry that the state machine has executed.
+// Applied returns the index of the last entry that the state machine has executed.
 func (r *Replica) Applied() uint64 { return r.applied.load() }
 
-// Failure is why the instance has stepped out of the log, empty while it has not.
+// Failure returns why the instance has stepped out of the log, or an empty string
+// if it has not.
 func (r *Replica) Failure() string {
 	if reason := r.failure.Load(); reason != nil {
 		return *reason
@@ -260,13 +264,14 @@
 	return ""
 }
 
-// End is where this instance's log ends. It is never behind what the instance
-// has acknowledged.
+// End returns the end of this instance's log. It never lags behind what the
+// instance has acknowledged.
 func (r *Replica) End() End { return *r.end.Load() }
 
-// Standing is what this instance says of its log to those who ask for a proof.
-// The owner of the state fills in what its followers follow, and reads that
-// afterwards: it may not lie behind Applied.
+// Standing returns the state of this instance's log for freshness proofs. The
+// owner of the state machine adds the position of the state that its followers
+// replicate, and must read it after calling Standing: it must not lag behind
+// Applied.
 func (r *Replica) Standing() freshness.Standing {
 	applied := r.Applied()
 	end, status := r.End(), r.Status()
@@ -283,15 +288,16 @@
 	return standing
 }
 
-// publishEnd makes the end of the log visible. Only the node's owner calls it.
+// publishEnd makes the end of the log visible to End. Only the goroutine that owns
+// the node may call it.
 func (r *Replica) publishEnd() {
 	r.end.Store(&End{Term: r.node.Term(), Last: r.node.LastIndex(), Config: r.node.Config()})
 }
 
-// Gauges for alarms.
+// Gauges that alerts are based on.
 var (
-	// survivableGauge is how many further losses are survivable, -1 on an
-	// instance that does not lead.
+	// survivableGauge is the number of further member losses that can be tolerated,
+	// or -1 on an instance that is not the leader.
 	survivableGauge = telemetry.Counter("replica_survivable")
 	appliedGauge    = telemetry.Counter("replica_applied")
 )
@@ -303,7 +309,8 @@
 	return status.Survivable
 }
 
-// publish makes the node's status visible. Only the node's owner calls it.
+// publish makes the node's status visible to Status. Only the goroutine that owns
+// the node may call it.
 func (r *Replica) publish() {
 	status := r.node.Status()
 	r.status.Store(&status)
@@ -312,15 +319,15 @@
 	r.publishEnd()
 }
 
-// Stop hands the leadership over, so that a planned stop does not cost the
-// others an election timeout. It returns when another leader is known or ctx
-// ends.
+// Stop transfers the leadership to another voter, so that a planned stop does not
+// cost the other members an election timeout. It returns when another leader is
+// known or ctx is done.
 func (r *Replica) Stop(ctx context.Context) {
 	status := r.Status()
 	if status.Role != replog.Leader {
 		return
 	}
-	target := handoverTarget(status)
+	target := transferTarget(status)
 	if target == "" || r.transfer(ctx, target) != nil {
 		return
 	}
@@ -335,8 +342,9 @@
 	}
 }
 
-// handoverTarget is the voter that lags least, empty when none has caught up.
-func handoverTarget(status replog.Status) replog.ID {
+// transferTarget returns the voter with the smallest lag, or an empty ID if no
+// voter has caught up.
+func transferTarget(status replog.Status) replog.ID {
 	var target replog.ID
 	var match uint64
 	for _, m := range status.Members {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -23,45 +23,46 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// journal is a state machine that remembers every command.
-type journal struct {
-	mu    sync.Mutex
-	lines []string
+// commandLog is a state machine that records every command.
+type commandLog struct {
+	mu       sync.Mutex
+	commands []string
 }
 
-func (j *journal) Apply(_ uint64, data []byte) []byte {
+func (j *commandLog) Apply(_ uint64, data []byte) []byte {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.lines = append(j.lines, string(data))
-	return fmt.Append(nil, len(j.lines))
+	j.commands = append(j.commands, string(data))
+	return fmt.Append(nil, len(j.commands))
 }
 
-func (j *journal) Snapshot() ([]byte, error) { return []byte(j.text()), nil }
+func (j *commandLog) Snapshot() ([]byte, error) { return []byte(j.text()), nil }
 
-func (j *journal) Restore(data []byte) error {
+func (j *commandLog) Restore(data []byte) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.lines = strings.Split(string(data), "\n")
+	j.commands = strings.Split(string(data), "\n")
 	return nil
 }
 
-func (j *journal) text() string {
+func (j *commandLog) text() string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return strings.Join(j.lines, "\n")
+	return strings.Join(j.commands, "\n")
 }
 
-// failingFS is the system's file system until its disk breaks.
+// failingFS is the operating system's file system until diskFull is set; writes
+// then fail with ENOSPC.
 type failingFS struct {
 	wal.OS
-	broken *atomic.Bool
+	diskFull *atomic.Bool
 }
 
 func (fs failingFS) Create(path string) (wal.File, error) { return fs.wrap(fs.OS.Create(path)) }
 func (fs failingFS) Append(path string) (wal.File, error) { return fs.wrap(fs.OS.Append(path)) }
 
 func (fs failingFS) wrap(file wal.File, err error) (wal.File, error) {
-	return failingFile{file, fs.broken}, err
+	return failingFile{file, fs.diskFull}, err
 }
 
 type failingFile struct {
@@ -76,13 +77,13 @@
 	return f.File.Write(data)
 }
 
-// instance is one control instance on loopback.
+// instance is a control instance on loopback.
 type instance struct {
 	*replica.Replica
-	journal *journal
-	broken  atomic.Bool
-	address string
-	stop    func()
+	state    *commandLog
+	diskFull atomic.Bool
+	address  string
+	stop     func()
 }
 
 type cluster struct {
@@ -109,51 +110,51 @@
 		c.start(i)
 	}
 	t.Cleanup(func() {
-		for _, one := range c.instances {
-			one.stop()
+		for _, inst := range c.instances {
+			inst.stop()
 		}
 	})
 	return c
 }
 
-// start starts an instance on its folder.
+// start starts instance i on its data folder.
 func (c *cluster) start(i int) {
 	c.t.Helper()
-	one := &instance{journal: &journal{}, address: c.addresses[i]}
+	inst := &instance{state: &commandLog{}, address: c.addresses[i]}
 	options := c.options
 	options.Instance = fmt.Sprintf("control-%d", i)
 	options.Address, options.Peers = c.addresses[i], c.addresses
 	options.Bootstrap = i == 0
 	options.Folder = c.folders[i]
-	options.FS = failingFS{broken: &one.broken}
+	options.FS = failingFS{diskFull: &inst.diskFull}
 	var err error
-	if one.Replica, err = replica.Open(options, one.journal, zap.NewNop()); err != nil {
+	if inst.Replica, err = replica.Open(options, inst.state, zap.NewNop()); err != nil {
 		c.t.Fatal(err)
 	}
-	listener, err := net.Listen("tcp", one.address)
+	listener, err := net.Listen("tcp", inst.address)
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	server := rpc.NewServer(one.Handlers())
-	var duties sync.WaitGroup
-	duties.Go(func() { _ = server.Serve(ctx, listener) })
-	duties.Go(func() { one.Run(ctx) })
-	one.stop = sync.OnceFunc(func() {
+	server := rpc.NewServer(inst.Handlers())
+	var wg sync.WaitGroup
+	wg.Go(func() { _ = server.Serve(ctx, listener) })
+	wg.Go(func() { inst.Run(ctx) })
+	inst.stop = sync.OnceFunc(func() {
 		cancel()
 		_ = listener.Close()
 		server.Close()
-		duties.Wait()
+		wg.Wait()
 	})
-	c.instances[i] = one
+	c.instances[i] = inst
 }
 
-func (c *cluster) await(what string, condition func() bool) {
+func (c *cluster) waitFor(what string, condition func() bool) {
 	c.t.Helper()
 	deadline := time.Now().Add(30 * time.Second)
 	for !condition() {
 		if time.Now().After(deadline) {
-			c.t.Fatalf("waited in vain for: %s", what)
+			c.t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -162,9 +163,9 @@
 func (c *cluster) leader() int {
 	c.t.Helper()
 	found := -1
-	c.await("a leader", func() bool {
-		for i, one := range c.instances {
-			if one.Status().Role == replog.Leader {
+	c.waitFor("a leader", func() bool {
+		for i, inst := range c.instances {
+			if inst.Status().Role == replog.Leader {
 				found = i
 			}
 		}
@@ -178,19 +179,19 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	if _, _, err := c.instances[i].Propose(ctx, []byte(command)); err != nil {
-		c.t.Fatalf("%.20s at %d: %v", command, i, err)
+		c.t.Fatalf("propose %.20s on instance %d: %v", command, i, err)
 	}
 }
 
-func (c *cluster) expect(i int, text string) {
+func (c *cluster) expectState(i int, text string) {
 	c.t.Helper()
-	c.await(fmt.Sprintf("instance %d to have %.200q", i, text), func() bool { return c.instances[i].journal.text() == text })
+	c.waitFor(fmt.Sprintf("instance %d to have state %.200q", i, text), func() bool { return c.instances[i].state.text() == text })
 }
 
 func (c *cluster) change(action wire.MemberAction, member string) {
 	c.t.Helper()
 	var err error
-	c.await(fmt.Sprint(action, " ", member), func() bool {
+	c.waitFor(fmt.Sprint(action, " ", member), func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		err = c.instances[c.leader()].ChangeMembers(ctx, wire.MemberChange{Action: action, Member: member})
@@ -198,13 +199,13 @@
 	})
 }
 
-var fast = replica.Options{TickInterval: 5 * time.Millisecond, SnapshotEntries: 5}
+var fastOptions = replica.Options{TickInterval: 5 * time.Millisecond, SnapshotEntries: 5}
 
-// A control instance loses its disk and comes back empty; after the repair a
-// second one is lost. Operators must not lose an accepted change, and see when
-// the second loss is survivable.
-func TestLostDiskIsReplacedAndASecondLossSurvived(t *testing.T) {
-	c := newCluster(t, 3, fast)
+// A control instance loses its disk and returns empty; after it has been replaced,
+// a second instance fails. No committed change may be lost, and the member list
+// must show when the cluster can tolerate the second failure.
+func TestReplaceLostDiskThenLoseSecondInstance(t *testing.T) {
+	c := newCluster(t, 3, fastOptions)
 	want := ""
 	for i := range 12 {
 		command := fmt.Sprint("command ", i)
@@ -212,59 +213,59 @@
 		want = strings.TrimPrefix(want+"\n"+command, "\n")
 	}
 	for i := range 3 {
-		c.expect(i, want)
+		c.expectState(i, want)
 	}
 
 	lost := (c.leader() + 1) % 3
-	old := c.instances[lost].ID()
+	oldID := c.instances[lost].ID()
 	c.instances[lost].stop()
 	c.folders[lost] = t.TempDir()
 	c.start(lost)
-	replacement := c.instances[lost].ID()
-	if replacement == old {
-		t.Fatal("the lost disk came back under its old identity")
+	newID := c.instances[lost].ID()
+	if newID == oldID {
+		t.Fatal("the instance with a new disk kept its old ID")
 	}
-	c.await("the replacement in the list", func() bool {
+	c.waitFor("the replacement in the member list", func() bool {
 		list := c.instances[lost].Members(context.Background())
 		return len(list.Members) == 4 && list.Members[3].Role == wire.RoleWaiting && list.Leader != ""
 	})
-	c.change(wire.MemberAdd, string(replacement))
-	c.change(wire.MemberRemove, string(old))
-	c.change(wire.MemberPromote, string(replacement))
-	c.await("redundancy", func() bool { return c.instances[c.leader()].Members(context.Background()).Survivable == 1 })
-	c.expect(lost, want)
+	c.change(wire.MemberAdd, string(newID))
+	c.change(wire.MemberRemove, string(oldID))
+	c.change(wire.MemberPromote, string(newID))
+	c.waitFor("one tolerated loss", func() bool { return c.instances[c.leader()].Members(context.Background()).Survivable == 1 })
+	c.expectState(lost, want)
 
 	second := c.leader()
 	c.instances[second].stop()
 	survivor := (second + 1) % 3
-	c.await("another leader", func() bool {
+	c.waitFor("another leader", func() bool {
 		leader := c.instances[survivor].Status().Leader
 		return leader != "" && leader != c.instances[second].ID()
 	})
 	c.propose(survivor, "after the second loss")
 	for i := range 3 {
 		if i != second {
-			c.expect(i, want+"\nafter the second loss")
+			c.expectState(i, want+"\nafter the second loss")
 		}
 	}
 }
 
-// The instance that founded the log loses its disk while the others are down,
-// and its settings still let it found one. A second, empty log would hand every
-// daemon an empty configuration.
-func TestLostDiskOfTheFounderFoundsNoSecondLog(t *testing.T) {
-	c := newCluster(t, 3, fast)
+// The instance that founded the log loses its disk while the others are down, and
+// still has Bootstrap set. If it founded a second, empty log, every daemon would
+// receive an empty configuration.
+func TestFounderWithLostDiskFoundsNoSecondLog(t *testing.T) {
+	c := newCluster(t, 3, fastOptions)
 	c.propose(0, "accepted")
-	c.await("all to have it", func() bool {
-		return c.instances[1].journal.text() == "accepted" && c.instances[2].journal.text() == "accepted"
+	c.waitFor("the command on the other instances", func() bool {
+		return c.instances[1].state.text() == "accepted" && c.instances[2].state.text() == "accepted"
 	})
-	for _, one := range c.instances {
-		one.stop()
+	for _, inst := range c.instances {
+		inst.stop()
 	}
 	c.folders[0] = t.TempDir()
 	c.start(0)
 	c.start(1)
-	c.await("the founder to be seen waiting", func() bool {
+	c.waitFor("the founder to be listed as waiting", func() bool {
 		return slices.ContainsFunc(c.instances[1].Members(context.Background()).Members, func(m wire.Member) bool {
 			return m.ID == c.instances[0].ID() && m.Role == wire.RoleWaiting
 		})
@@ -277,59 +278,60 @@
 	if cluster := c.instances[0].Status().Config.Cluster; cluster != "" {
 		t.Fatal("the founder has founded a second log")
 	}
-	c.expect(2, "accepted\nmore")
+	c.expectState(2, "accepted\nmore")
 }
 
-// All control instances lose power. Every accepted change is there again.
-func TestRestartKeepsEveryAcceptedChange(t *testing.T) {
-	c := newCluster(t, 3, fast)
+// All control instances stop. After the restart every committed change must be
+// present.
+func TestRestartKeepsCommittedCommands(t *testing.T) {
+	c := newCluster(t, 3, fastOptions)
 	for i := range 7 {
 		c.propose(0, fmt.Sprint(i))
 	}
-	for _, one := range c.instances {
-		one.stop()
+	for _, inst := range c.instances {
+		inst.stop()
 	}
 	for i := range c.instances {
 		c.start(i)
 	}
 	c.propose(1, "more")
 	for i := range c.instances {
-		c.expect(i, "0\n1\n2\n3\n4\n5\n6\nmore")
+		c.expectState(i, "0\n1\n2\n3\n4\n5\n6\nmore")
 	}
 }
 
-// The leader's disk is full. It must neither acknowledge nor lead any longer;
-// operators see why, and the others go on.
+// The leader's disk is full. It must stop acknowledging and leading and report the
+// reason to operators, while the other instances continue.
 func TestFullDiskStepsOut(t *testing.T) {
-	c := newCluster(t, 3, fast)
+	c := newCluster(t, 3, fastOptions)
 	c.propose(0, "before")
 	full := c.leader()
-	c.instances[full].broken.Store(true)
+	c.instances[full].diskFull.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	if _, _, err := c.instances[full].Propose(ctx, []byte("unlucky")); !errors.Is(err, replica.ErrUnknown) {
-		t.Errorf("a command that met the full disk: %v", err)
+		t.Errorf("propose with a full disk: %v, want ErrUnknown", err)
 	}
-	c.await("the failure", func() bool { return c.instances[full].Failure() != "" })
+	c.waitFor("the reported failure", func() bool { return c.instances[full].Failure() != "" })
 	if _, _, err := c.instances[full].Propose(ctx, []byte("late")); !errors.Is(err, replica.ErrNotCommitted) {
-		t.Errorf("a command after the failure: %v", err)
+		t.Errorf("propose after the failure: %v, want ErrNotCommitted", err)
 	}
 	if _, err := c.instances[full].ReadIndex(ctx); err == nil {
 		t.Error("a read was confirmed after the failure")
 	}
 	if failure := c.instances[full].Members(ctx).Failure; !strings.Contains(failure, "no space") {
-		t.Errorf("operators see %q", failure)
+		t.Errorf("reported failure = %q, want no space", failure)
 	}
 	c.propose((full+1)%3, "after")
 }
 
-// An instance is stopped as planned. The others must not go without a leader
-// for an election timeout, so it hands over first.
-func TestStopHandsTheLeadershipOver(t *testing.T) {
-	slow := fast
-	slow.ElectionTicks = 200
-	c := newCluster(t, 3, slow)
-	c.await("all caught up", func() bool { return c.instances[c.leader()].Status().Survivable == 1 })
+// A leader is stopped as planned. It must transfer the leadership first, so that the
+// others are not without a leader for an election timeout.
+func TestStopTransfersLeadership(t *testing.T) {
+	options := fastOptions
+	options.ElectionTicks = 200
+	c := newCluster(t, 3, options)
+	c.waitFor("all instances to catch up", func() bool { return c.instances[c.leader()].Status().Survivable == 1 })
 	leader := c.leader()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
@@ -339,9 +341,9 @@
 	}
 }
 
-// Reads through a member that lags must show what was accepted elsewhere.
+// A read through a lagging member must reflect commands committed through others.
 func TestReadIndexSeesEarlierCommits(t *testing.T) {
-	c := newCluster(t, 3, fast)
+	c := newCluster(t, 3, fastOptions)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	for i := range 10 {
@@ -351,21 +353,21 @@
 		if _, err := reader.ReadIndex(ctx); err != nil {
 			t.Fatal(err)
 		}
-		if text := reader.journal.text(); !strings.HasSuffix(text, command) {
-			t.Fatalf("after %s was accepted, a read shows %q", command, text)
+		if text := reader.state.text(); !strings.HasSuffix(text, command) {
+			t.Fatalf("read after the commit of %s returned %q", command, text)
 		}
 	}
 }
 
-// The state has grown beyond what one message may carry. A replacement must
-// still be able to catch up, or the redundancy could never be repaired.
-func TestLargeSnapshotReachesAReplacement(t *testing.T) {
+// The state exceeds the maximum size of one message. A replacement must still be
+// able to catch up; otherwise redundancy could not be restored.
+func TestLargeSnapshotIsSentInParts(t *testing.T) {
 	c := newCluster(t, 3, replica.Options{TickInterval: 5 * time.Millisecond, SnapshotEntries: 2, PartBytes: 1 << 10})
 	large := strings.Repeat("x", 100<<10)
-	for _, one := range c.instances {
-		one.journal.mu.Lock()
-		one.journal.lines = []string{large}
-		one.journal.mu.Unlock()
+	for _, inst := range c.instances {
+		inst.state.mu.Lock()
+		inst.state.commands = []string{large}
+		inst.state.mu.Unlock()
 	}
 	c.propose(0, "a")
 	c.propose(0, "b")
@@ -376,11 +378,11 @@
 	c.folders[lost] = t.TempDir()
 	c.start(lost)
 	c.change(wire.MemberAdd, string(c.instances[lost].ID()))
-	c.await("the whole state", func() bool { return c.instances[lost].Applied() >= c.instances[c.leader()].Applied() })
-	if c.instances[lost].journal.text() != large+"\na\nb" {
-		t.Error("the state differs")
+	c.waitFor("the complete state", func() bool { return c.instances[lost].Applied() >= c.instances[c.leader()].Applied() })
+	if c.instances[lost].state.text() != large+"\na\nb" {
+		t.Error("the replacement's state differs")
 	}
 	if sent := parts.Value() - before; sent < 100 {
-		t.Errorf("the snapshot went in %d parts", sent)
+		t.Errorf("the snapshot was sent in %d parts, want at least 100", sent)
 	}
 }
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -16,32 +16,32 @@
 var sentParts = telemetry.Counter("replica_snapshot_parts_sent")
 
 const (
-	// partTimeout bounds the call of one part.
+	// partTimeout limits the duration of the call that sends one part.
 	partTimeout = 10 * time.Second
-	// maxSnapshotBytes bounds what a receiver assembles.
+	// maxSnapshotBytes limits the size of a snapshot that a receiver assembles.
 	maxSnapshotBytes = 1 << 30
-	// resendPause is how long the same snapshot is not sent again. The core
-	// asks for it again while a slow one is still under way.
-	resendPause = 10 * time.Second
+	// resendInterval is the minimum time before the same snapshot is sent again. The
+	// core requests it repeatedly while a slow transfer is still in progress.
+	resendInterval = 10 * time.Second
 )
 
-// snapshotSender sends snapshots in parts on one lane.
+// snapshotSender sends the snapshots of one queue in parts.
 type snapshotSender struct {
 	peers  *peers
 	client *rpc.Client
 	to     replog.ID
 	index  uint64
-	at     time.Time
+	sentAt time.Time
 }
 
 func (s *snapshotSender) send(m replog.Message) error {
-	if s.to == m.To && s.index == m.Snapshot.Index && time.Since(s.at) < resendPause {
+	if s.to == m.To && s.index == m.Snapshot.Index && time.Since(s.sentAt) < resendInterval {
 		return nil
 	}
 	data := m.Snapshot.Data
-	described := *m.Snapshot
-	described.Data = nil
-	m.Snapshot = &described
+	meta := *m.Snapshot
+	meta.Data = nil
+	m.Snapshot = &meta
 	for offset := 0; offset == 0 || offset < len(data); offset += s.peers.partBytes {
 		part := wire.SnapshotPart{
 			Cluster: *s.peers.cluster.Load(), Address: s.peers.address, Message: m,
@@ -51,7 +51,7 @@
 			return err
 		}
 	}
-	s.to, s.index, s.at = m.To, m.Snapshot.Index, time.Now()
+	s.to, s.index, s.sentAt = m.To, m.Snapshot.Index, time.Now()
 	return nil
 }
 
@@ -63,8 +63,9 @@
 	return s.client.Call(ctx, wire.MethodReplicaSnapshot, part, &wire.Empty{})
 }
 
-// assembly puts one snapshot together; a part of another one begins anew.
-type assembly struct {
+// snapshotAssembler assembles one snapshot from its parts. The first part of another
+// snapshot discards the incomplete one.
+type snapshotAssembler struct {
 	mu    sync.Mutex
 	from  replog.ID
 	term  uint64
@@ -72,8 +73,9 @@
 	data  []byte
 }
 
-// add returns the message once its snapshot is complete.
-func (a *assembly) add(part wire.SnapshotPart) (*replog.Message, error) {
+// add adds a part. It returns the message once its snapshot is complete, and nil
+// before.
+func (a *snapshotAssembler) add(part wire.SnapshotPart) (*replog.Message, error) {
 	m := part.Message
 	if m.Snapshot == nil || part.Total > maxSnapshotBytes || part.Offset+len(part.Data) > part.Total {
 		return nil, errors.New("not a part of a snapshot")
