--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -13,58 +13,61 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// Admission decides under a contract whether and when a request may run.
+// Admission decides whether and when a request may run under its contract.
 type Admission interface {
-	// Admit returns once the contract allows the request. It refuses at once
-	// when the wait is certain to pass the contract's longest wait, and at
-	// the latest when that wait is over.
+	// Admit blocks until the contract allows the request. It refuses immediately if
+	// the wait would certainly exceed the contract's longest wait, and otherwise
+	// when that wait has elapsed.
 	Admit(ctx context.Context, ask Ask) (Permit, *Refusal)
 }
 
-// Ask describes a request that wants to run.
+// Ask describes a request that asks for admission.
 type Ask struct {
 	Contract contract.Contract
-	// Prompt and Generated are the most tokens that the request is expected
-	// to use, 0 for a plain service's call.
+	// Prompt and Generated are upper estimates of the tokens that the request uses;
+	// both are 0 for a call to a plain service.
 	Prompt    int64
 	Generated int64
 }
 
-// Tokens is the most that the request is expected to use.
+// Tokens returns the upper estimate of all tokens that the request uses.
 func (a Ask) Tokens() int64 { return a.Prompt + a.Generated }
 
 // Permit is held while a request runs.
 type Permit interface {
-	// Settle ends the permit; it is called exactly once.
+	// Settle releases the permit and reports the actual use. It must be called
+	// exactly once.
 	Settle(use Use)
 }
 
-// Use is what a request turned out to use.
+// Use is what a request actually used.
 type Use struct {
-	// NotRun is true when the request certainly did not run: it then counts
-	// against no clause.
+	// NotRun is true if the request certainly did not run. It is then not charged
+	// to any clause of the contract.
 	NotRun bool
-	// Tokens is the use that the engine reported; 0 when it reported none.
+	// Tokens is the number of tokens that the engine reported, or 0 if it reported
+	// none.
 	Tokens int64
-	// Events counts a streamed answer's events, about one for each token.
+	// Events is the number of events in a streamed answer, approximately one per
+	// token.
 	Events int64
 }
 
-// Refusal names the clause that refuses a request.
+// Refusal describes why a request is refused.
 type Refusal struct {
-	// Clause is empty when no limit of the contract was reached, but the
-	// entry could not confirm that.
+	// Clause is the contract's clause that refuses the request. It is empty if no
+	// limit is known to be reached but the entry cannot confirm the limits.
 	Clause contract.Clause
-	// RetryAfter is when a new attempt can succeed.
+	// RetryAfter is the time after which a new attempt can succeed.
 	RetryAfter time.Duration
 	Message    string
 }
 
 func (f *Refusal) failure() failure {
 	seconds := int((f.RetryAfter + time.Second - 1) / time.Second)
-	status, code := http.StatusTooManyRequests, codeLimit
+	status, code := http.StatusTooManyRequests, codeLimitReached
 	if f.Clause == "" {
-		status, code = http.StatusServiceUnavailable, codeNoLimits
+		status, code = http.StatusServiceUnavailable, codeLimitsUnconfirmed
 	}
 	return failure{
 		status:     status,
@@ -75,74 +78,76 @@
 	}
 }
 
-// unlimited admits everything; it stands in where no admission is configured.
+// unlimited admits every request. It is used if no admission is configured.
 type unlimited struct{}
 
 func (unlimited) Admit(context.Context, Ask) (Permit, *Refusal) { return unlimited{}, nil }
 func (unlimited) Settle(Use)                                    {}
 
-// admit sends a call under a permit, which is settled by the answer that the
-// caller was given. A call that must run at most once has its claim by then:
-// refused earlier, its caller would be told "not run" although an earlier
-// attempt under the same key may have run.
-func (e *Entry) admit(v *visit, r *http.Request, c call) reply {
+// admit sends a call under a permit, which is settled with the outcome of the
+// answer that the caller received. The claim of a call that must run at most once
+// is taken before: if admission came first and refused, the caller would be told
+// "not run" although an earlier attempt with the same key may have run.
+func (e *Entry) admit(in *inbound, r *http.Request, c call) reply {
 	c.wait = newWaitBudget(c.ask.Contract.Limits, time.Now())
-	return e.admitted(v, r, c.ask, func() reply { return e.send(v, r, c) })
+	return e.withPermit(in, r, c.ask, func() reply { return e.send(in, r, c) })
 }
 
-func (e *Entry) admitted(v *visit, r *http.Request, ask Ask, run func() reply) reply {
+func (e *Entry) withPermit(in *inbound, r *http.Request, ask Ask, run func() reply) reply {
 	permit, refusal := e.options.Admission.Admit(r.Context(), ask)
 	if refusal != nil && r.Context().Err() != nil {
-		return v.fail(gaveUp(r.Context(), false))
+		return in.fail(noAnswer(r.Context(), false))
 	}
 	if refusal != nil {
-		return v.fail(refusal.failure())
+		return in.fail(refusal.failure())
 	}
-	v.atEnd(func() { permit.Settle(v.meter.use()) })
-	describe(r.Header, ask)
-	given := run()
-	// An answer that breaks off may have run, and counts as if it had.
-	v.meter.notRun = given.said == outcome.NotRun
-	return given
+	in.addCleanup(func() { permit.Settle(in.meter.usage()) })
+	setContractHeaders(r.Header, ask)
+	result := run()
+	// An answer that is cut may have run and is charged as if it had.
+	in.meter.notRun = result.outcome == outcome.NotRun
+	return result
 }
 
-// describe tells the next hops whose request it is, so that their queues can be
-// fair among contracts.
-func describe(header http.Header, ask Ask) {
+// setContractHeaders passes the contract's ID, share and priority and the request's
+// cost to the next hops, so that their queues are fair across contracts.
+func setContractHeaders(header http.Header, ask Ask) {
 	header.Set(wire.HeaderContract, ask.Contract.ID)
 	header.Set(wire.HeaderShare, strconv.Itoa(ask.Contract.Share))
 	header.Set(wire.HeaderPriority, strconv.Itoa(ask.Contract.Priority))
 	header.Set(wire.HeaderCost, strconv.FormatInt(ask.Tokens(), 10))
 }
 
-// defaultMaxTokens is what a completion is expected to generate when the caller
-// sets no bound.
+// defaultMaxTokens is the estimate of the tokens that a completion generates if the
+// caller sets no maximum.
 const defaultMaxTokens = 256
 
-// maxEstimate and maxAnswers are beyond what any contract allows in a minute.
+// maxEstimate and maxChoices are larger than any contract allows per minute.
 const (
 	maxEstimate = 1 << 40
-	maxAnswers  = 1 << 16
+	maxChoices  = 1 << 16
 )
 
-// askFor bounds a completion's use from above: no tokenizer makes more tokens
-// than the prompt has bytes.
-func askFor(customer contract.Contract, body callerBody, bodyBytes int) Ask {
+// newAsk returns an upper estimate of a completion's use. The size of the body
+// bounds the prompt, because no tokenizer produces more tokens than the prompt has
+// bytes.
+func newAsk(customer contract.Contract, body callerBody, bodyBytes int) Ask {
 	generated := max(body.MaxTokens, body.MaxCompletionTokens)
 	if generated <= 0 {
 		generated = defaultMaxTokens
 	}
-	// Without the bounds a caller could make the product overflow, and be
-	// credited with tokens instead of charged.
+	// Without these bounds a caller could make the product overflow, so that its
+	// contract would be credited with tokens instead of charged.
 	generated = min(generated, maxEstimate)
-	answers := min(max(body.N, 1), maxAnswers)
-	return Ask{Contract: customer, Prompt: int64(bodyBytes), Generated: generated * answers}
+	choices := min(max(body.N, 1), maxChoices)
+	return Ask{Contract: customer, Prompt: int64(bodyBytes), Generated: generated * choices}
 }
 
-// tailSize is how much of an answer's end is kept to find its usage, in bytes.
+// tailSize is how much of the end of an answer is kept to find its usage object, in
+// bytes.
 const tailSize = 4 << 10
 
-// meter measures a server's answer on its way to the caller.
+// meter measures a server's answer while it is relayed to the caller.
 type meter struct {
 	notRun bool
 	events int64
@@ -151,7 +156,7 @@
 
 var eventPrefix = []byte("data: ")
 
-// add counts streamed events and keeps the answer's end.
+// add counts streamed events and keeps the end of the answer.
 func (m *meter) add(piece []byte) {
 	m.events += int64(bytes.Count(piece, eventPrefix))
 	m.tail = append(m.tail, piece...)
@@ -160,7 +165,7 @@
 	}
 }
 
-func (m *meter) use() Use {
+func (m *meter) usage() Use {
 	if m.notRun {
 		return Use{NotRun: true}
 	}
@@ -169,8 +174,8 @@
 
 var usageKey = []byte(`"usage":`)
 
-// reportedTokens reads the last usage object of an answer, whole or streamed;
-// it is 0 when there is none.
+// reportedTokens returns the total tokens of the last usage object of an answer,
+// complete or streamed, or 0 if there is none.
 func reportedTokens(tail []byte) int64 {
 	at := bytes.LastIndex(tail, usageKey)
 	if at < 0 {
--- a/internal/entry/admission_test.go
+++ b/internal/entry/admission_test.go
@@ -33,7 +33,7 @@
 func (f *fakeAdmission) Settle(use Use) { f.settled = append(f.settled, use) }
 
 // streamed is a server's answer that comes in pieces and may break off.
-func streamed(v *visit, end answer.End, pieces ...string) reply {
+func streamed(v *inbound, end answer.End, pieces ...string) reply {
 	return reply{answer.Stream(http.StatusOK, nil, func(pass answer.Pass) answer.End {
 		for _, piece := range pieces {
 			v.meter.add([]byte(piece))
@@ -47,30 +47,30 @@
 	whole := answer.Complete(nil)
 	cases := []struct {
 		name   string
-		answer func(*visit) reply
+		answer func(*inbound) reply
 		want   Use
 	}{
-		{"whole answer with usage", func(v *visit) reply {
+		{"whole answer with usage", func(v *inbound) reply {
 			return streamed(v, whole, `{"choices":[],"usage":{"prompt_tokens":2,"total_tokens":9}}`)
 		}, Use{Tokens: 9}},
-		{"stream without usage", func(v *visit) reply {
+		{"stream without usage", func(v *inbound) reply {
 			return streamed(v, whole, "data: {}\n\n", "data: {}\n\n", "data: {}\n\n")
 		}, Use{Events: 3}},
-		{"stream that breaks off", func(v *visit) reply { return streamed(v, answer.Cut, "data: {}\n\n") }, Use{Events: 1}},
-		{"usage at the end of a long stream", func(v *visit) reply {
+		{"stream that breaks off", func(v *inbound) reply { return streamed(v, answer.Cut, "data: {}\n\n") }, Use{Events: 1}},
+		{"usage at the end of a long stream", func(v *inbound) reply {
 			return streamed(v, whole, strings.Repeat("x", 3*tailSize), `data: {"usage":{"total_to`, "kens\":40}}\n\n")
 		}, Use{Tokens: 40, Events: 1}},
-		{"not run", func(v *visit) reply {
+		{"not run", func(v *inbound) reply {
 			return v.fail(failure{status: http.StatusServiceUnavailable, code: codeNoServer})
 		}, Use{NotRun: true}},
-		{"broken off before its header", func(*visit) reply { panic(http.ErrAbortHandler) }, Use{}},
-		{"usage that is no object", func(v *visit) reply { return streamed(v, whole, `"usage":-`) }, Use{}},
+		{"broken off before its header", func(*inbound) reply { panic(http.ErrAbortHandler) }, Use{}},
+		{"usage that is no object", func(v *inbound) reply { return streamed(v, whole, `"usage":-`) }, Use{}},
 	}
 	for _, c := range cases {
 		admission := &fakeAdmission{}
 		e := admittingEntry(admission)
-		handler := e.serve(func(v *visit, r *http.Request) reply {
-			given := e.admitted(v, r, Ask{}, func() reply { return c.answer(v) })
+		handler := e.serve(func(v *inbound, r *http.Request) reply {
+			given := e.withPermit(v, r, Ask{}, func() reply { return c.answer(v) })
 			if len(admission.settled) > 0 {
 				t.Errorf("%s: settled before the answer is out", c.name)
 			}
@@ -99,8 +99,8 @@
 	refusal := &Refusal{Clause: contract.ClauseTokensPerMinute, RetryAfter: 2100 * time.Millisecond, Message: "over"}
 	e := admittingEntry(&fakeAdmission{refusal: refusal})
 	recorder := httptest.NewRecorder()
-	e.serve(func(v *visit, r *http.Request) reply {
-		return e.admitted(v, r, Ask{}, func() reply {
+	e.serve(func(v *inbound, r *http.Request) reply {
+		return e.withPermit(v, r, Ask{}, func() reply {
 			t.Error("a refused request ran")
 			return reply{}
 		})
@@ -127,10 +127,10 @@
 		{callerBody{MaxTokens: 10}, 10},
 		{callerBody{MaxTokens: 10, MaxCompletionTokens: 20, N: 3}, 60},
 		{callerBody{MaxTokens: -5, N: -5}, defaultMaxTokens},
-		{callerBody{MaxTokens: math.MaxInt64, N: math.MaxInt64}, maxEstimate * maxAnswers},
+		{callerBody{MaxTokens: math.MaxInt64, N: math.MaxInt64}, maxEstimate * maxChoices},
 	}
 	for _, c := range cases {
-		if ask := askFor(contract.Contract{}, c.body, 7); ask.Generated != c.want || ask.Tokens() != c.want+7 {
+		if ask := newAsk(contract.Contract{}, c.body, 7); ask.Generated != c.want || ask.Tokens() != c.want+7 {
 			t.Errorf("%+v: got %+v, want %d", c.body, ask, c.want)
 		}
 	}
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -15,29 +15,29 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// attempt offers the call to one server. Answered means that the caller gets
-// its answer; after any other outcome the caller has nothing.
-func (e *Entry) attempt(v *visit, r *http.Request, c call, server placement.Server) attempted {
+// attempt sends the call to one server. If the outcome is Answered, the caller gets
+// the server's answer; with any other outcome nothing has been sent to the caller.
+func (e *Entry) attempt(in *inbound, r *http.Request, c call, server placement.Server) attemptResult {
 	ctx, span := telemetry.StartClient(r.Context(), telemetry.SpanEntryAttempt)
 	span.SetAttributes(telemetry.AttributeServer.String(server.Server))
-	x := e.newExchange(v, r.WithContext(ctx), c, server, span)
-	v.atEnd(x.close)
-	got := x.offer()
-	span.SetAttributes(telemetry.AttributeOutcome.String(got.said.String()))
-	if got.said != outcome.Answered {
+	x := e.newExchange(in, r.WithContext(ctx), c, server, span)
+	in.addCleanup(x.close)
+	result := x.roundTrip()
+	span.SetAttributes(telemetry.AttributeOutcome.String(result.outcome.String()))
+	if result.outcome != outcome.Answered {
 		x.close()
 	}
-	return got
+	return result
 }
 
-// attempted is how one attempt ended.
-type attempted struct {
-	said outcome.Outcome
-	// answer is the caller's, when the call was answered.
+// attemptResult is the result of one attempt.
+type attemptResult struct {
+	outcome outcome.Outcome
+	// answer is the answer for the caller if the outcome is Answered.
 	answer answer.Answer
-	// crashed is true when the server crashed with the request on it.
+	// crashed is true if the server crashed while it ran the request.
 	crashed bool
-	// declined is true when the server had no adapter slot to give.
+	// declined is true if the server had no free adapter slot.
 	declined bool
 }
 
@@ -51,47 +51,50 @@
 		return nil, err
 	}
 	relay.CopyHeader(request.Header, r.Header)
-	c.wait.describe(request.Header)
+	c.wait.setHeader(request.Header)
 	if c.mayDecline() {
 		request.Header.Set(wire.HeaderMayDecline, "true")
 	}
 	telemetry.Inject(ctx, request.Header)
-	// Answers do not name the call that they are for. On a kept connection one
-	// that comes late would pass for that of the next call; only agents, which
-	// are of this system, answer each call once.
-	request.Close = !c.idempotent || !gated(server.Announcement)
+	// HTTP/1.1 responses do not identify their request. On a kept-alive connection
+	// a late duplicate would be taken for the response to the next call. Only
+	// agents, which are part of this system, are known to answer each call exactly
+	// once.
+	request.Close = !c.idempotent || !hasAgent(server.Announcement)
 	if len(c.body) == 0 {
-		// Sent as Content-Length: 0, as the caller did; some services refuse
-		// an empty body of unknown length. net/http may repeat such a request
-		// on a kept-alive connection; calls of services have one of their own.
+		// The request is sent with Content-Length: 0, as the caller sent it,
+		// because some services refuse an empty body of unknown length. net/http
+		// may repeat a request without a body on a kept-alive connection; calls of
+		// services therefore use a connection of their own.
 		request.Body = http.NoBody
 	}
 	return e.client.Do(request)
 }
 
-// url is where a path of a server is reached. Agents are peers of this process
-// and share its certificates; other servers speak plain HTTP.
+// url returns the URL of a path on a server. Agents are peers of this process and
+// share its certificates; other servers use plain HTTP.
 func (e *Entry) url(server membership.Announcement, path string) string {
 	scheme := "http"
-	if gated(server) && e.options.SecureAgents {
+	if hasAgent(server) && e.options.SecureAgents {
 		scheme = "https"
 	}
 	return scheme + "://" + server.Address + path
 }
 
-// judge says whether an answer may go to the caller. Its status must be a final
-// one, as net/http does not see to. An answer of an engine must come from the
-// adapter and version that the request asked for.
-func judge(c call, server placement.Server, response *http.Response) outcome.Outcome {
+// responseOutcome decides whether a response may be relayed to the caller, and
+// returns Answered if so. Its status must be final, which net/http does not ensure.
+// A successful response of an engine must come from the adapter and version that
+// the request asked for.
+func responseOutcome(c call, server placement.Server, response *http.Response) outcome.Outcome {
 	if response.StatusCode < http.StatusOK {
 		return outcome.Unknown
 	}
-	if !gated(server.Announcement) {
+	if !hasAgent(server.Announcement) {
 		return outcome.Answered
 	}
-	said, err := outcome.Parse(response.Header.Get(outcome.Header))
-	if err != nil || said != outcome.Answered {
-		return said
+	reported, err := outcome.Parse(response.Header.Get(outcome.Header))
+	if err != nil || reported != outcome.Answered {
+		return reported
 	}
 	succeeded := response.StatusCode < http.StatusBadRequest
 	if c.request.Kind == membership.KindEngine && succeeded && response.Header.Get(wire.HeaderRan) != c.request.Ref.String() {
@@ -101,24 +104,25 @@
 	return outcome.Answered
 }
 
-// ranAsAsked checks the word of an engine without an agent about what ran,
-// before a byte of its answer goes out. An agent has checked its engine's.
-func (e *Entry) ranAsAsked(c call, server placement.Server, response *http.Response) bool {
+// verifyModel reports whether an engine without an agent ran the model that the
+// request asked for. The check precedes the first byte sent to the caller. Engines
+// with an agent are checked by it.
+func (e *Entry) verifyModel(c call, server placement.Server, response *http.Response) bool {
 	failed := response.StatusCode >= http.StatusBadRequest
-	if c.request.Kind != membership.KindEngine || gated(server.Announcement) || failed {
+	if c.request.Kind != membership.KindEngine || hasAgent(server.Announcement) || failed {
 		return true
 	}
-	ran, whole, err := relay.PeekModel(response.Body)
-	if err != nil || ran != c.request.Ref.String() {
+	ranModel, body, err := relay.PeekModel(response.Body)
+	if err != nil || ranModel != c.request.Ref.String() {
 		wrongModelCount.Add(1)
 		return false
 	}
-	response.Header.Set(wire.HeaderRan, ran)
-	response.Body = readCloser{whole, response.Body}
+	response.Header.Set(wire.HeaderRan, ranModel)
+	response.Body = readCloser{body, response.Body}
 	return true
 }
 
-// readCloser reads from one place and closes another.
+// readCloser combines a Reader and a Closer of different sources.
 type readCloser struct {
 	io.Reader
 	io.Closer
--- a/internal/entry/caller.go
+++ b/internal/entry/caller.go
@@ -14,7 +14,7 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// internalHeaders are spoken between entries and agents only.
+// internalHeaders are used between entries and agents only.
 var internalHeaders = []string{
 	outcome.Header, wire.HeaderModel, wire.HeaderRan, wire.HeaderFencing,
 	wire.HeaderIncarnation, agent.HeaderSource, wire.HeaderClause, wire.HeaderContract,
@@ -23,9 +23,9 @@
 	wire.HeaderFingerprint, wire.HeaderAlone, wire.HeaderCrashed,
 }
 
-// dropInternal removes the headers that only this system's processes may set.
-// A plain service that echoes a caller's headers could otherwise make the
-// entry believe that a booking was not run, and the entry would run it again.
+// dropInternal removes the headers that only processes of this system may set.
+// Otherwise a plain service that echoes a caller's headers could report that a
+// booking was not run, and the entry would run it again.
 func dropInternal(header http.Header) {
 	for _, name := range internalHeaders {
 		header.Del(name)
@@ -45,18 +45,18 @@
 	return customer, nil
 }
 
-func (e *Entry) readBody(v *visit, r *http.Request) ([]byte, *failure) {
-	_ = v.readDeadline(time.Now().Add(e.options.BodyTimeout))
+func (e *Entry) readBody(in *inbound, r *http.Request) ([]byte, *failure) {
+	_ = in.readDeadline(time.Now().Add(e.options.BodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, e.options.MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, &failure{status: http.StatusRequestEntityTooLarge, code: codeBodyTooLarge, message: "the body is larger than this entry accepts", closing: true}
+		return nil, &failure{status: http.StatusRequestEntityTooLarge, code: codeBodyTooLarge, message: "the body is larger than this entry accepts", closeConn: true}
 	}
 	if err != nil {
-		return nil, &failure{status: http.StatusBadRequest, code: codeMalformed, message: "the body could not be read", closing: true}
+		return nil, &failure{status: http.StatusBadRequest, code: codeMalformed, message: "the body could not be read", closeConn: true}
 	}
-	_ = v.readDeadline(time.Time{})
-	// The body is here: the next hop must not be asked whether it wants it.
+	_ = in.readDeadline(time.Time{})
+	// The body has been read completely: the next hop must not send 100 Continue.
 	r.Header.Del("Expect")
 	return body, nil
 }
--- a/internal/entry/complete.go
+++ b/internal/entry/complete.go
@@ -20,33 +20,34 @@
 	MaxTokens           int64  `json:"max_tokens"`
 	MaxCompletionTokens int64  `json:"max_completion_tokens"`
 	N                   int64  `json:"n"`
-	// Priority is only looked at to be replaced by the contract's.
+	// Priority is parsed only so that it can be replaced by the contract's
+	// priority.
 	Priority json.RawMessage `json:"priority"`
 }
 
-func (e *Entry) complete(v *visit, r *http.Request) reply {
+func (e *Entry) complete(in *inbound, r *http.Request) reply {
 	customer, problem := e.authenticate(r)
 	if problem != nil {
-		return v.fail(*problem)
+		return in.fail(*problem)
 	}
-	body, problem := e.readBody(v, r)
+	body, problem := e.readBody(in, r)
 	if problem != nil {
-		return v.fail(*problem)
+		return in.fail(*problem)
 	}
 	adapter, parsed, problem := e.resolve(customer, body)
 	if problem != nil {
-		return v.fail(*problem)
+		return in.fail(*problem)
 	}
 	prepared, err := withPriority(body, parsed, customer.Priority)
 	if err != nil {
-		return v.fail(failure{status: http.StatusBadRequest, code: codeMalformed, message: err.Error()})
+		return in.fail(failure{status: http.StatusBadRequest, code: codeMalformed, message: err.Error()})
 	}
 	r.Header.Set(wire.HeaderModel, adapter.Ref.String())
 	r.Header.Set(agent.HeaderSource, adapter.Source)
 	c := call{
 		request:    placement.Request{Kind: membership.KindEngine, Ref: adapter.Ref, BaseModel: adapter.BaseModel, Prefix: prefixcache.Chain(adapter.Ref, body)},
 		contract:   customer.ID,
-		ask:        askFor(customer, parsed, len(body)),
+		ask:        newAsk(customer, parsed, len(body)),
 		path:       r.URL.Path,
 		body:       prepared,
 		idempotent: true,
@@ -54,7 +55,7 @@
 	c.fingerprint = crashFingerprint(c)
 	c.suspect = e.follower.Config().Suspect(c.fingerprint, time.Now())
 	r.Header.Set(wire.HeaderFingerprint, string(c.fingerprint))
-	return e.admit(v, r, c)
+	return e.admit(in, r, c)
 }
 
 func (e *Entry) resolve(customer contract.Contract, body []byte) (catalogue.Adapter, callerBody, *failure) {
--- a/internal/entry/decline.go
+++ b/internal/entry/decline.go
@@ -13,31 +13,31 @@
 
 var declinedCount = telemetry.Counter("entry_declined")
 
-// maxDeclines is how many servers without a free adapter slot a call is offered
-// to before it waits at one. A decline costs one hop and no retry budget: the
-// server did nothing.
+// maxDeclines is the maximum number of servers without a free adapter slot that may
+// decline a call before it waits at one. A decline costs one hop and no retry
+// budget, because the server did no work.
 const maxDeclines = 4
 
-// mayDecline reports whether a server may send the call back for want of a
-// slot. The trial of a suspect is for one server only.
+// mayDecline reports whether a server without a free slot may decline the call. A
+// suspect runs its trial on one server only and is not declined.
 func (c *call) mayDecline() bool {
-	return c.request.Kind == membership.KindEngine && !c.patient && !c.suspect && len(c.declined) < maxDeclines
+	return c.request.Kind == membership.KindEngine && !c.waitForSlot && !c.suspect && len(c.declined) < maxDeclines
 }
 
-// place chooses the next server. When all others have declined, the call
-// waits at the best of them.
-func (e *Entry) place(c *call) (placement.Server, bool) {
+// pickServer chooses the next server. If all other servers have declined, the call
+// waits for a slot at the best of them.
+func (e *Entry) pickServer(c *call) (placement.Server, bool) {
 	request := c.request
 	request.Exclude = slices.Concat(request.Exclude, c.declined)
 	server, ok := e.placer.pick(request)
 	if ok || len(c.declined) == 0 {
 		return server, ok
 	}
-	c.patient = true
+	c.waitForSlot = true
 	return e.placer.pick(c.request)
 }
 
-// declined reports whether an answer sends the call back for want of a slot.
-func declined(c *call, said outcome.Outcome, response *http.Response) bool {
-	return said == outcome.NotRun && c.mayDecline() && response.Header.Get(wire.HeaderDeclined) != ""
+// isDecline reports whether a response declines the call because no slot is free.
+func isDecline(c *call, reported outcome.Outcome, response *http.Response) bool {
+	return reported == outcome.NotRun && c.mayDecline() && response.Header.Get(wire.HeaderDeclined) != ""
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry is the thin role behind the platform's balancer: it
-// authenticates callers, admits requests under their contracts, chooses a
-// backend server and relays the answer.
+// Package entry implements the entry role behind the platform's load balancer. An
+// entry authenticates callers, admits requests under their contracts, chooses a
+// backend server and relays its answer.
 package entry
 
 import (
@@ -24,45 +24,46 @@
 )
 
 var (
-	requestCount  = telemetry.Counter("entry_requests")
-	answeredCount = telemetry.Counter("entry_answered")
-	notRunCount   = telemetry.Counter("entry_not_run")
-	unknownCount  = telemetry.Counter("entry_unknown")
-	cutCount      = telemetry.Counter("entry_answers_cut")
-	callerGone    = telemetry.Counter("entry_callers_gone")
-	// wrongModelCount counts answers that came from another model than the
-	// request asked for; they are never relayed.
+	requestCount    = telemetry.Counter("entry_requests")
+	answeredCount   = telemetry.Counter("entry_answered")
+	notRunCount     = telemetry.Counter("entry_not_run")
+	unknownCount    = telemetry.Counter("entry_unknown")
+	cutCount        = telemetry.Counter("entry_answers_cut")
+	callerGoneCount = telemetry.Counter("entry_callers_gone")
+	// wrongModelCount counts answers that came from a model other than the
+	// requested one. They are never relayed.
 	wrongModelCount = telemetry.Counter("entry_wrong_model")
 )
 
-// Options configure an entry.
+// Options configures an Entry.
 type Options struct {
-	// MaxBodyBytes bounds a request body.
+	// MaxBodyBytes is the maximum size of a request body.
 	MaxBodyBytes int64
-	// SecureAgents reaches agents over TLS.
+	// SecureAgents enables TLS for connections to agents.
 	SecureAgents bool
-	// Retries bound how often requests are offered to further servers.
+	// Retries limits the retries of requests on other servers.
 	Retries retry.Limits
-	// Placement tunes the choice of backend servers.
+	// Placement configures the choice of backend servers.
 	Placement placement.SelectorOptions
 	// BodyTimeout bounds how long a caller may take to send its body.
 	BodyTimeout time.Duration
-	// WriteTimeout bounds how long a caller may take to accept one piece of
-	// its answer.
+	// WriteTimeout bounds how long a caller may take to accept one piece of its
+	// answer.
 	WriteTimeout time.Duration
-	// FirstByteTimeout bounds the wait for an answer's first byte.
+	// FirstByteTimeout bounds the wait for the first byte of an answer.
 	FirstByteTimeout time.Duration
-	// StallTimeout bounds the silence within an answer.
+	// StallTimeout bounds the time between two reads within an answer.
 	StallTimeout time.Duration
-	// ClaimTimeout bounds the wait for the decision whether a call that
-	// must run at most once may run.
+	// ClaimTimeout bounds the wait for the decision whether a call that must run at
+	// most once may run.
 	ClaimTimeout time.Duration
-	// Claims decides that. Without it calls with a key are refused.
+	// Claims decides whether a call that must run at most once may run. If nil,
+	// calls with an idempotency key are refused.
 	Claims Claims
-	// Admission enforces the contracts' limits; nil admits everything.
+	// Admission enforces the contracts' limits. If nil, every request is admitted.
 	Admission Admission
-	// Suspicions decides whether a request that was at a crash may run.
-	// Without it such requests run like any other.
+	// Suspicions decides whether a request that is suspected of a crash may run. If
+	// nil, suspected requests run like any other.
 	Suspicions Suspicions
 }
 
@@ -85,8 +86,8 @@
 	o.ClaimTimeout = cmp.Or(o.ClaimTimeout, defaultClaimTimeout)
 }
 
-// Source is what an entry knows of the system; a follow.Follower keeps it up
-// to date.
+// Source provides the entry's view of the system. It is implemented by
+// follow.Follower, which keeps the view up to date.
 type Source interface {
 	Config() *follow.Config
 	Servers() []membership.Announcement
@@ -100,13 +101,13 @@
 	follower Source
 	client   *http.Client
 	placer   *placer
-	retries  *retries
+	retries  *retrier
 	gate     *drain.Gate
-	stopping atomic.Bool
+	draining atomic.Bool
 }
 
-// New returns an entry that reads its configuration from the follower. The
-// client must come from the relay package, which never sends a call twice.
+// New returns an entry that reads its configuration from the follower. The client
+// must come from the relay package, which never sends a request twice.
 func New(options Options, follower Source, client *http.Client, log *zap.Logger) *Entry {
 	options.setDefaults()
 	if options.Admission == nil {
@@ -118,12 +119,12 @@
 		follower: follower,
 		client:   client,
 		placer:   newPlacer(options.Placement, follower.Servers),
-		retries:  newRetries(options.Retries),
+		retries:  newRetrier(options.Retries),
 		gate:     drain.NewGate(),
 	}
 }
 
-// Handler serves callers and the platform.
+// Handler returns the handler for callers and for the platform's health checks.
 func (e *Entry) Handler() http.Handler {
 	router := chi.NewRouter()
 	router.Method(http.MethodGet, "/healthz", answer.Handler(func(*http.Request) answer.Answer { return answer.Full(http.StatusOK, nil, nil) }))
@@ -132,34 +133,35 @@
 	router.Method(http.MethodPost, "/v1/chat/completions", e.serve(e.complete))
 	router.Handle("/services/{service}/*", e.serve(e.callService))
 	router.Method(http.MethodGet, "/claims/{key}", e.serve(e.lookUpClaim))
-	router.NotFound(e.serve(notServed).ServeHTTP)
-	router.MethodNotAllowed(e.serve(otherMethod(router)).ServeHTTP)
+	router.NotFound(e.serve(unknownPath).ServeHTTP)
+	router.MethodNotAllowed(e.serve(methodNotAllowed(router)).ServeHTTP)
 	return router
 }
 
-func notServed(v *visit, _ *http.Request) reply {
-	return v.fail(failure{status: http.StatusNotFound, code: codeUnknownPath, message: "nothing is served at this path"})
+func unknownPath(in *inbound, _ *http.Request) reply {
+	return in.fail(failure{status: http.StatusNotFound, code: codeUnknownPath, message: "nothing is served at this path"})
 }
 
-// otherMethod names the methods that a path is served by.
-func otherMethod(routes chi.Routes) handle {
-	return func(v *visit, r *http.Request) reply {
+// methodNotAllowed returns a handler that answers with the methods that a path
+// supports.
+func methodNotAllowed(routes chi.Routes) handlerFunc {
+	return func(in *inbound, r *http.Request) reply {
 		var allowed []string
 		for _, method := range []string{http.MethodGet, http.MethodPost} {
 			if routes.Match(chi.NewRouteContext(), method, r.URL.Path) {
 				allowed = append(allowed, method)
 			}
 		}
-		return v.fail(failure{status: http.StatusMethodNotAllowed, code: codeMethod, message: "this path is not served by this method", allowed: allowed})
+		return in.fail(failure{status: http.StatusMethodNotAllowed, code: codeMethodNotAllowed, message: "this path is not served by this method", allowed: allowed})
 	}
 }
 
-// Drain makes the entry not ready. It still serves, because the balancer goes
-// on sending until it has seen that.
-func (e *Entry) Drain() { e.stopping.Store(true) }
+// Drain makes the entry report not ready. It continues to serve, because the load
+// balancer sends requests until it notices.
+func (e *Entry) Drain() { e.draining.Store(true) }
 
-// Wait refuses new requests, returns when none is in flight or ctx ends, and
-// says how many are left.
+// Wait refuses new requests and blocks until no request is in flight or ctx is
+// done. It returns the number of requests still in flight.
 func (e *Entry) Wait(ctx context.Context) int { return e.gate.Wait(ctx) }
 
 func (e *Entry) ready(*http.Request) answer.Answer {
@@ -169,7 +171,7 @@
 	return answer.Full(http.StatusOK, nil, nil)
 }
 
-// Ready reports whether the balancer may send callers here.
+// Ready reports whether the load balancer may send requests to this entry.
 func (e *Entry) Ready() bool {
-	return !e.stopping.Load() && e.follower.Freshness().MayAdmit()
+	return !e.draining.Load() && e.follower.Freshness().MayAdmit()
 }
--- a/internal/entry/events.go
+++ b/internal/entry/events.go
@@ -9,78 +9,83 @@
 	"github.com/rosemarypass/rosemarypass/internal/relay"
 )
 
-// maxEvent bounds how much of one event is held back, in bytes. What is longer is
-// passed on as it comes.
-const maxEvent = 64 << 10
+// maxPendingEvent is how much of an incomplete event is buffered, in bytes. A
+// longer event is passed on before its end.
+const maxPendingEvent = 64 << 10
 
-// maxEventEnd is the longest of the ends of an event, in bytes.
-const maxEventEnd = 4
+// maxTerminator is the length of the longest event terminator, in bytes.
+const maxTerminator = 4
 
-// events holds a stream of server-sent events back to the end of the last whole
-// one: a half event must not be ended by what the entry writes behind it.
-type events struct {
-	held []byte
-	// within is true when a part of the event at hand was passed on.
-	within bool
+// eventBuffer buffers a stream of server-sent events so that only complete events
+// are passed on. An incomplete event must not be terminated by what the entry
+// writes after it.
+type eventBuffer struct {
+	pending []byte
+	// partial is true if a part of the current event was already passed on.
+	partial bool
 }
 
-// add takes bytes and returns those to pass on. They stay valid until the next
+// add appends data and returns the bytes to pass on, which are valid until the next
 // call.
-func (e *events) add(data []byte) []byte {
-	// What was held before has no end in it, but perhaps the beginning of one.
-	from := max(0, len(e.held)-maxEventEnd)
-	e.held = append(e.held, data...)
-	end := lastEventEnd(e.held[from:])
+func (e *eventBuffer) add(data []byte) []byte {
+	// The bytes buffered earlier contain no terminator but may end with the
+	// beginning of one.
+	start := max(0, len(e.pending)-maxTerminator)
+	e.pending = append(e.pending, data...)
+	end := lastEventEnd(e.pending[start:])
 	switch {
 	case end > 0:
-		end += from
-		e.within = false
-	case len(e.held) > maxEvent:
-		end, e.within = len(e.held)-maxEventEnd, true
+		end += start
+		e.partial = false
+	case len(e.pending) > maxPendingEvent:
+		end, e.partial = len(e.pending)-maxTerminator, true
 	}
-	passed := e.held[:end:end]
-	e.held = append([]byte(nil), e.held[end:]...)
-	return passed
+	out := e.pending[:end:end]
+	e.pending = append([]byte(nil), e.pending[end:]...)
+	return out
 }
 
-// lastEventEnd is where the last whole event of some bytes ends: behind an empty
-// line, by any of the three ends of a line that events may have.
+// lastEventEnd returns the offset after the last complete event in data, or 0 if
+// there is none. An event ends with an empty line, for any of the three line
+// endings that events may use.
 func lastEventEnd(data []byte) int {
 	end := 0
-	for _, empty := range []string{"\n\n", "\n\r\n", "\r\r"} {
-		if at := bytes.LastIndex(data, []byte(empty)); at >= 0 {
-			end = max(end, at+len(empty))
+	for _, terminator := range []string{"\n\n", "\n\r\n", "\r\r"} {
+		if at := bytes.LastIndex(data, []byte(terminator)); at >= 0 {
+			end = max(end, at+len(terminator))
 		}
 	}
 	return end
 }
 
-// unframed reads events whose end is told by that of the connection only. A
-// server that crashes closes in good order too: half an event at the end shows
-// that the stream was not over.
-type unframed struct {
+// unframedEvents reads an event stream that is delimited only by the close of its
+// connection. The connection of a server that crashes is closed orderly as well,
+// but an incomplete last event shows that the stream was truncated.
+type unframedEvents struct {
 	io.ReadCloser
-	events events
+	events eventBuffer
 }
 
-// checkEnd makes an answer's body fail at an end that is none. An engine's answer
-// must show its end where its frame does not tell it; its agent has seen to that.
-func (x *exchange) checkEnd(response *http.Response) {
-	if x.call.request.Kind == membership.KindEngine && !gated(x.server.Announcement) {
+// verifyEnd makes the reads of a response's body fail at an end that does not
+// complete it. A response of an engine that is not framed must show its end itself;
+// for an engine with an agent, the agent has verified that.
+func (x *exchange) verifyEnd(response *http.Response) {
+	if x.call.request.Kind == membership.KindEngine && !hasAgent(x.server.Announcement) {
 		response.Body = readCloser{relay.VerifyEnd(response, response.Body), response.Body}
 		return
 	}
 	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
-	if !framed && eventStream(response.Header) {
-		response.Body = &unframed{ReadCloser: response.Body}
+	if !framed && isEventStream(response.Header) {
+		response.Body = &unframedEvents{ReadCloser: response.Body}
 	}
 }
 
-// Read implements io.Reader.
-func (u *unframed) Read(buffer []byte) (int, error) {
+// Read implements io.Reader. It returns io.ErrUnexpectedEOF at the end of a stream
+// whose last event is incomplete.
+func (u *unframedEvents) Read(buffer []byte) (int, error) {
 	n, err := u.ReadCloser.Read(buffer)
 	_ = u.events.add(buffer[:n])
-	if err == io.EOF && (u.events.within || len(bytes.Trim(u.events.held, "\r\n")) > 0) {
+	if err == io.EOF && (u.events.partial || len(bytes.Trim(u.events.pending, "\r\n")) > 0) {
 		return n, io.ErrUnexpectedEOF
 	}
 	return n, err
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -19,38 +19,38 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// exchange is one call on its way to a server, and its answer on the way back.
+// exchange is one call to a server and the server's response.
 type exchange struct {
-	entry *Entry
-	visit *visit
-	// request is the caller's.
+	entry   *Entry
+	inbound *inbound
+	// request is the caller's request.
 	request  *http.Request
 	call     call
 	server   placement.Server
 	span     trace.Span
 	ctx      context.Context
 	watchdog *relay.Watchdog
-	began    time.Time
-	// body is what the server's answer is read from, once there is one.
+	start    time.Time
+	// body is the body of the server's current response, or nil before the first.
 	body io.ReadCloser
-	// settled is true when the server has nothing left to do for the call,
-	// declined when it had no adapter slot to give, and answered when its answer
-	// was passed on, whole or not.
+	// settled is true if the server has no work left for the call, declined if it
+	// had no free adapter slot, and answered if its answer was relayed, completely
+	// or in part.
 	settled, declined, answered bool
-	// crashed is true when the server crashed with the request on it.
+	// crashed is true if the server crashed while it ran the request.
 	crashed bool
 	closed  bool
 }
 
-func (e *Entry) newExchange(v *visit, r *http.Request, c call, server placement.Server, span trace.Span) *exchange {
+func (e *Entry) newExchange(in *inbound, r *http.Request, c call, server placement.Server, span trace.Span) *exchange {
 	ctx, watchdog := relay.Watch(r.Context(), e.options.FirstByteTimeout)
-	if gated(server.Announcement) {
+	if hasAgent(server.Announcement) {
 		ctx = relay.WithPromptPeer(ctx)
 	}
-	return &exchange{entry: e, visit: v, request: r, call: c, server: server, span: span, ctx: ctx, watchdog: watchdog, began: time.Now()}
+	return &exchange{entry: e, inbound: in, request: r, call: c, server: server, span: span, ctx: ctx, watchdog: watchdog, start: time.Now()}
 }
 
-// close ends the exchange. The first call counts.
+// close ends the exchange. Calls after the first have no effect.
 func (x *exchange) close() {
 	if x.closed {
 		return
@@ -59,83 +59,83 @@
 	if x.body != nil {
 		_ = x.body.Close()
 	}
-	if !x.settled && gated(x.server.Announcement) {
+	if !x.settled && hasAgent(x.server.Announcement) {
 		x.entry.cancelRun(x.request, x.server)
 	}
 	x.watchdog.Stop()
-	x.free()
+	x.release()
 	x.span.End()
 }
 
-// free tells the placer what became of the call.
-func (x *exchange) free() {
+// release reports the end of the call to the placer.
+func (x *exchange) release() {
 	if x.declined {
 		x.entry.placer.declined(x.server.Server)
 		return
 	}
 	ran := time.Duration(0)
 	if x.answered {
-		ran = time.Since(x.began)
+		ran = time.Since(x.start)
 	}
 	x.entry.placer.finished(x.server.Server, x.call.request.Ref, ran)
 }
 
-func (x *exchange) offer() attempted {
+func (x *exchange) roundTrip() attemptResult {
 	response, err := x.entry.forward(x.ctx, x.request, x.call, x.server)
-	if err != nil && relay.Sent(err) && gated(x.server.Announcement) {
+	if err != nil && relay.Sent(err) && hasAgent(x.server.Announcement) {
 		response, err = x.entry.resume(x.ctx, x.request, x.call, x.server, 0)
 	}
 	if err != nil {
 		x.settled = !relay.Sent(err)
-		return attempted{said: outcome.Decide(outcome.Evidence{Sent: relay.Sent(err)}), crashed: errors.Is(err, errCrashed)}
+		return attemptResult{outcome: outcome.Decide(outcome.Evidence{Sent: relay.Sent(err)}), crashed: errors.Is(err, errCrashed)}
 	}
-	x.checkEnd(response)
+	x.verifyEnd(response)
 	x.body = response.Body
-	if said := judge(x.call, x.server, response); said != outcome.Answered {
+	if reported := responseOutcome(x.call, x.server, response); reported != outcome.Answered {
 		x.settled = true
-		x.call.wait.note(response.Header)
-		x.declined = declined(&x.call, said, response)
-		return attempted{said: said, crashed: response.Header.Get(wire.HeaderCrashed) != "", declined: x.declined}
+		x.call.wait.recordRefusal(response.Header)
+		x.declined = isDecline(&x.call, reported, response)
+		return attemptResult{outcome: reported, crashed: response.Header.Get(wire.HeaderCrashed) != "", declined: x.declined}
 	}
-	if !x.entry.ranAsAsked(x.call, x.server, response) {
-		return attempted{said: outcome.Unknown}
+	if !x.entry.verifyModel(x.call, x.server, response) {
+		return attemptResult{outcome: outcome.Unknown}
 	}
-	if x.call.once != nil {
-		if err := x.call.once.record(response); err != nil {
-			return attempted{said: outcome.Unknown}
+	if x.call.claim != nil {
+		if err := x.call.claim.record(response); err != nil {
+			return attemptResult{outcome: outcome.Unknown}
 		}
 	}
 	x.body = response.Body
-	body := x.pieces(response)
-	x.visit.atEnd(body.close)
-	if body.first(); body.broken() {
-		return attempted{said: outcome.Unknown, crashed: x.crashed}
+	body := x.newBodyReader(response)
+	x.inbound.addCleanup(body.close)
+	if body.peek(); body.broken() {
+		return attemptResult{outcome: outcome.Unknown, crashed: x.crashed}
 	}
 	x.answered = true
-	return attempted{said: outcome.Answered, answer: x.pass(response, body)}
+	return attemptResult{outcome: outcome.Answered, answer: x.relayAnswer(response, body)}
 }
 
-// pass is the answer that passes a server's on.
-func (x *exchange) pass(response *http.Response, body *pieces) answer.Answer {
-	header := x.header(response.Header)
+// relayAnswer returns the answer that relays a server's response.
+func (x *exchange) relayAnswer(response *http.Response, body *bodyReader) answer.Answer {
+	header := x.callerHeader(response.Header)
 	if bodyless(x.request.Method, response.StatusCode) {
-		x.passed()
+		x.markComplete()
 		return answer.Full(response.StatusCode, header, nil)
 	}
-	stream := answer.Stream(response.StatusCode, header, func(pass answer.Pass) answer.End { return x.feed(pass, response, body) })
+	stream := answer.Stream(response.StatusCode, header, func(pass answer.Pass) answer.End { return x.streamBody(pass, response, body) })
 	if response.ContentLength >= 0 {
 		return stream.WithLength(response.ContentLength)
 	}
 	return stream
 }
 
-// header is what the caller gets of a server's header.
-func (x *exchange) header(from http.Header) http.Header {
+// callerHeader returns the header for the caller, derived from the server's header.
+func (x *exchange) callerHeader(from http.Header) http.Header {
 	ran := from.Get(wire.HeaderRan)
 	from = from.Clone()
 	dropInternal(from)
 	from.Del(wire.HeaderRequestID)
-	header := x.visit.ownHeader()
+	header := x.inbound.newHeader()
 	relay.CopyHeader(header, from)
 	if x.call.request.Kind == membership.KindEngine {
 		header.Set(wire.HeaderRan, ran)
@@ -144,9 +144,10 @@
 	return header
 }
 
-// endToEnd is what a caller gets of a server's trailer. Framing has no place
-// there, nor has a word in this system's name.
-func endToEnd(trailer http.Header) http.Header {
+// callerTrailer returns the trailer for the caller, derived from the server's
+// trailer. Framing headers are not allowed in a trailer, and internal headers of
+// this system are dropped.
+func callerTrailer(trailer http.Header) http.Header {
 	kept := make(http.Header)
 	relay.CopyHeader(kept, trailer)
 	dropInternal(kept)
@@ -155,54 +156,55 @@
 	return kept
 }
 
-// bodyless reports whether an answer ends with its header.
+// bodyless reports whether a response has no body.
 func bodyless(method string, status int) bool {
 	return method == http.MethodHead || status == http.StatusNoContent || status == http.StatusNotModified
 }
 
-// passed notes that the caller has the whole answer.
-func (x *exchange) passed() {
-	x.settled, x.visit.whole = true, true
+// markComplete records that the answer was relayed completely.
+func (x *exchange) markComplete() {
+	x.settled, x.inbound.complete = true, true
 	answeredCount.Add(1)
 }
 
-// feed passes an answer's body on as it comes. Once it has begun, a failure can
-// only be shown by a cut.
-func (x *exchange) feed(pass answer.Pass, response *http.Response, body *pieces) answer.End {
+// streamBody relays the body of a response as it arrives. After the first byte, a
+// failure can only be signalled by cutting the answer.
+func (x *exchange) streamBody(pass answer.Pass, response *http.Response, body *bodyReader) answer.End {
 	for {
 		piece, err := body.next()
-		if len(piece) > 0 && !x.hand(pass, piece) {
+		if len(piece) > 0 && !x.writePiece(pass, piece) {
 			return answer.Cut
 		}
 		if err == io.EOF {
-			x.passed()
-			return answer.Complete(endToEnd(body.source.trailer()))
+			x.markComplete()
+			return answer.Complete(callerTrailer(body.source.trailer()))
 		}
 		if err != nil {
 			cutCount.Add(1)
-			if !body.held.within {
-				x.explain(pass, response)
+			if !body.events.partial {
+				x.writeErrorEvent(pass, response)
 			}
 			return answer.Cut
 		}
 	}
 }
 
-// hand passes a piece on and reports whether the caller took it.
-func (x *exchange) hand(pass answer.Pass, piece []byte) bool {
-	x.visit.meter.add(piece)
+// writePiece writes a piece to the caller and reports whether that succeeded.
+func (x *exchange) writePiece(pass answer.Pass, piece []byte) bool {
+	x.inbound.meter.add(piece)
 	if pass(piece) != nil {
-		callerGone.Add(1)
+		callerGoneCount.Add(1)
 		return false
 	}
 	return true
 }
 
-// explain ends a stream of server-sent events that cannot be completed by an
-// event that says so, so that a caller which reads events learns why its
-// connection is cut next. Where a length was declared, the event could fill it.
-func (x *exchange) explain(pass answer.Pass, response *http.Response) {
-	if !eventStream(response.Header) || response.ContentLength >= 0 {
+// writeErrorEvent writes a last event with the error to a stream of server-sent
+// events that cannot be completed, so that a caller that reads events learns why
+// its connection is cut next. Nothing is written if a length was declared, because
+// the event could fill it and make the answer look complete.
+func (x *exchange) writeErrorEvent(pass answer.Pass, response *http.Response) {
+	if !isEventStream(response.Header) || response.ContentLength >= 0 {
 		return
 	}
 	data, err := json.Marshal(errorBody{Error: errorObject{Message: "the answer could not be completed", Type: errorType(http.StatusBadGateway), Code: codeUnknownOutcome}})
@@ -212,9 +214,9 @@
 	_ = pass([]byte("data: " + string(data) + "\n\n"))
 }
 
-// eventStream reports whether an answer consists of server-sent events that can
-// be read, and not of an encoding of them.
-func eventStream(header http.Header) bool {
-	plain := header.Get("Content-Encoding") == ""
-	return plain && strings.HasPrefix(strings.ToLower(header.Get("Content-Type")), "text/event-stream")
+// isEventStream reports whether a response is a stream of server-sent events
+// without a content encoding.
+func isEventStream(header http.Header) bool {
+	unencoded := header.Get("Content-Encoding") == ""
+	return unencoded && strings.HasPrefix(strings.ToLower(header.Get("Content-Type")), "text/event-stream")
 }
--- a/internal/entry/failure.go
+++ b/internal/entry/failure.go
@@ -12,38 +12,38 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// Code is the stable machine-readable code of an error answer.
+// Code is the stable, machine-readable code of an error answer.
 type Code string
 
 const (
-	codeUnknownKey     Code = "unknown_key"
-	codeMalformed      Code = "malformed_request"
-	codeBodyTooLarge   Code = "body_too_large"
-	codeNotInContract  Code = "not_in_contract"
-	codeUnknownModel   Code = "unknown_model"
-	codeUnknownService Code = "unknown_service"
-	codeUnknownPath    Code = "unknown_path"
-	codeMethod         Code = "method_not_allowed"
-	codeUnknownRoute   Code = "unknown_route"
-	codeKeyRequired    Code = "idempotency_key_required"
-	codeNoServer       Code = "no_server"
-	codeDraining       Code = "entry_draining"
-	codeUnconfirmed    Code = "configuration_unconfirmed"
-	codeUnknownOutcome Code = "unknown_outcome"
-	codeConvicted      Code = "request_crashes_servers"
-	codeSuspect        Code = "request_suspected"
-	codeDeadline       Code = "deadline_exceeded"
-	codeTimeout        Code = "invalid_timeout"
-	codeKeyReused      Code = "idempotency_key_reused"
-	codeKeyInvalid     Code = "idempotency_key_invalid"
-	codeInProgress     Code = "idempotency_key_in_progress"
-	codeKeyExpired     Code = "idempotency_key_expired"
-	codeAnswerNotKept  Code = "answer_not_kept"
-	codeNoClaims       Code = "claims_unavailable"
-	codeClaimsFull     Code = "claims_full"
-	codeNoClaim        Code = "unknown_claim"
-	codeLimit          Code = "limit_reached"
-	codeNoLimits       Code = "limits_unconfirmed"
+	codeUnknownKey        Code = "unknown_key"
+	codeMalformed         Code = "malformed_request"
+	codeBodyTooLarge      Code = "body_too_large"
+	codeNotInContract     Code = "not_in_contract"
+	codeUnknownModel      Code = "unknown_model"
+	codeUnknownService    Code = "unknown_service"
+	codeUnknownPath       Code = "unknown_path"
+	codeMethodNotAllowed  Code = "method_not_allowed"
+	codeUnknownRoute      Code = "unknown_route"
+	codeKeyRequired       Code = "idempotency_key_required"
+	codeNoServer          Code = "no_server"
+	codeDraining          Code = "entry_draining"
+	codeUnconfirmed       Code = "configuration_unconfirmed"
+	codeUnknownOutcome    Code = "unknown_outcome"
+	codeConvicted         Code = "request_crashes_servers"
+	codeSuspect           Code = "request_suspected"
+	codeDeadline          Code = "deadline_exceeded"
+	codeInvalidTimeout    Code = "invalid_timeout"
+	codeKeyReused         Code = "idempotency_key_reused"
+	codeKeyInvalid        Code = "idempotency_key_invalid"
+	codeInProgress        Code = "idempotency_key_in_progress"
+	codeKeyExpired        Code = "idempotency_key_expired"
+	codeAnswerNotKept     Code = "answer_not_kept"
+	codeClaimsUnavailable Code = "claims_unavailable"
+	codeClaimsFull        Code = "claims_full"
+	codeUnknownClaim      Code = "unknown_claim"
+	codeLimitReached      Code = "limit_reached"
+	codeLimitsUnconfirmed Code = "limits_unconfirmed"
 )
 
 // failure is an error answer to a caller.
@@ -51,23 +51,25 @@
 	status  int
 	code    Code
 	message string
-	// retryAfter is in seconds; 0 sends no header.
+	// retryAfter is in seconds; 0 sends no Retry-After header.
 	retryAfter int
-	// clause names the contract's clause that refuses, if one does.
+	// clause is the contract's clause that refuses the request, if any.
 	clause string
-	// allowed are the methods of a path that was asked for by another.
+	// allowed are the methods that the requested path supports, for the Allow
+	// header.
 	allowed []string
-	// doubt is true when an earlier attempt of the request may have run.
-	doubt bool
-	// closing ends the connection behind the answer. Without it net/http reads the
-	// rest of the request's body before it sends the answer, for as long as the
-	// caller takes.
-	closing bool
+	// inDoubt is true if an earlier attempt of the request may have run.
+	inDoubt bool
+	// closeConn closes the connection after the answer. Otherwise net/http reads
+	// the rest of the request's body before it sends the answer, for as long as the
+	// caller takes to send it.
+	closeConn bool
 }
 
-// after is the failure when earlier attempts left the given doubt.
-func (f failure) after(doubt bool) failure {
-	f.doubt = doubt
+// withDoubt returns the failure with inDoubt set to whether an earlier attempt may
+// have run.
+func (f failure) withDoubt(inDoubt bool) failure {
+	f.inDoubt = inDoubt
 	return f
 }
 
@@ -75,7 +77,7 @@
 	Message string `json:"message"`
 	Type    string `json:"type"`
 	Code    Code   `json:"code"`
-	// Param names the contract's clause when a limit refuses.
+	// Param is the contract's clause if a limit refuses the request.
 	Param string `json:"param,omitempty"`
 }
 
@@ -83,10 +85,10 @@
 	Error errorObject `json:"error"`
 }
 
-// outcomeOf is what an error code says about the request's fate.
+// outcomeOf returns the outcome that an error code implies for the request.
 func outcomeOf(code Code) outcome.Outcome {
 	switch code {
-	case codeUnknownOutcome, codeInProgress, codeKeyExpired, codeNoClaims:
+	case codeUnknownOutcome, codeInProgress, codeKeyExpired, codeClaimsUnavailable:
 		return outcome.Unknown
 	case codeAnswerNotKept:
 		return outcome.Answered
@@ -95,8 +97,8 @@
 	}
 }
 
-func countOutcome(said outcome.Outcome) {
-	switch said {
+func countOutcome(o outcome.Outcome) {
+	switch o {
 	case outcome.NotRun:
 		notRunCount.Add(1)
 	case outcome.Answered:
@@ -106,18 +108,18 @@
 	}
 }
 
-// ownHeader is the header of an answer that is the entry's own.
-func (v *visit) ownHeader() http.Header { return http.Header{wire.HeaderRequestID: {v.id}} }
+// newHeader returns the header that every answer of the entry starts from.
+func (in *inbound) newHeader() http.Header { return http.Header{wire.HeaderRequestID: {in.id}} }
 
-// fail answers with an error.
-func (v *visit) fail(f failure) reply {
-	said := outcomeOf(f.code)
-	if f.doubt {
-		said = outcome.Unknown
+// fail returns an error answer.
+func (in *inbound) fail(f failure) reply {
+	result := outcomeOf(f.code)
+	if f.inDoubt {
+		result = outcome.Unknown
 	}
-	countOutcome(said)
-	header := v.ownHeader()
-	header.Set(outcome.Header, said.String())
+	countOutcome(result)
+	header := in.newHeader()
+	header.Set(outcome.Header, result.String())
 	if f.retryAfter > 0 {
 		header.Set("Retry-After", strconv.Itoa(f.retryAfter))
 	}
@@ -128,18 +130,18 @@
 		header.Set(wire.HeaderClause, f.clause)
 	}
 	body := errorBody{Error: errorObject{Message: f.message, Type: errorType(f.status), Code: f.code, Param: f.clause}}
-	failed := inJSON(f.status, header, body)
-	if f.closing {
-		failed = failed.WithConnectionClose()
+	response := jsonAnswer(f.status, header, body)
+	if f.closeConn {
+		response = response.WithConnectionClose()
 	}
-	return reply{failed, said}
+	return reply{response, result}
 }
 
-// inJSON is an answer in JSON.
-func inJSON(status int, header http.Header, value any) answer.Answer {
+// jsonAnswer returns an answer with the value encoded as JSON.
+func jsonAnswer(status int, header http.Header, value any) answer.Answer {
 	body, err := json.Marshal(value)
 	if err != nil {
-		// Only values of this package are written, which can all be marshalled.
+		// All values passed here are types of this package that can be marshalled.
 		panic(errors.Wrap(err, "marshal answer"))
 	}
 	header.Set("Content-Type", "application/json")
--- a/internal/entry/freshness.go
+++ b/internal/entry/freshness.go
@@ -8,14 +8,14 @@
 
 var unconfirmedCount = telemetry.Counter("entry_refused_unconfirmed")
 
-// unconfirmedRetry is when a caller may try again, in seconds. Another entry
-// behind the balancer may take the request at once.
-const unconfirmedRetry = 1
+// unconfirmedRetryAfter is the time after which a caller may retry, in seconds.
+// Another entry behind the load balancer may accept the request immediately.
+const unconfirmedRetryAfter = 1
 
-// unconfirmed refuses requests while the contracts may have been changed
-// without this entry's knowledge: a retired customer would be served on, and
-// nobody could tell for how long.
-func (e *Entry) unconfirmed() *failure {
+// checkFreshness refuses requests while the contracts may have changed without this
+// entry's knowledge. Otherwise a retired customer would be served for an unbounded
+// time.
+func (e *Entry) checkFreshness() *failure {
 	state := e.follower.Freshness()
 	if state.MayAdmit() {
 		return nil
@@ -25,6 +25,6 @@
 		status:     http.StatusServiceUnavailable,
 		code:       codeUnconfirmed,
 		message:    "this entry cannot confirm its contracts: " + state.Reason,
-		retryAfter: unconfirmedRetry,
+		retryAfter: unconfirmedRetryAfter,
 	}
 }
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -21,68 +21,71 @@
 )
 
 var (
-	claimGrantedCount = telemetry.Counter("entry_claims_granted")
-	claimReplayCount  = telemetry.Counter("entry_claims_replayed")
-	claimDoubtCount   = telemetry.Counter("entry_claims_in_doubt")
-	claimLostCount    = telemetry.Counter("entry_claims_unavailable")
-	claimUnsavedCount = telemetry.Counter("entry_claims_unsaved")
+	claimGrantedCount     = telemetry.Counter("entry_claims_granted")
+	claimReplayedCount    = telemetry.Counter("entry_claims_replayed")
+	claimInDoubtCount     = telemetry.Counter("entry_claims_in_doubt")
+	claimUnavailableCount = telemetry.Counter("entry_claims_unavailable")
+	claimUnsavedCount     = telemetry.Counter("entry_claims_unsaved")
 )
 
-// headerReplayed marks an answer that was kept from the call's only run.
+// headerReplayed marks an answer that was recorded when the call ran and is
+// replayed.
 const headerReplayed = "Idempotent-Replayed"
 
 const (
-	// finishWait is how long an answer is held until it is kept for replay.
-	finishWait = time.Second
-	// settleTimeout bounds how long a claim's end is sent again.
+	// finishTimeout bounds how long an answer is delayed until it is recorded for
+	// replay.
+	finishTimeout = time.Second
+	// settleTimeout bounds how long the end of a claim is retried.
 	settleTimeout = time.Minute
-	// claimRetry is when a caller may ask again, in seconds.
-	claimRetry = 1
+	// claimRetryAfter is the time after which a caller may ask again, in seconds.
+	claimRetryAfter = 1
 )
 
-// Claims decides whether a call that must run at most once may run. An error
-// leaves open whether the command took effect.
+// Claims decides whether a call that must run at most once may run. After an error
+// the command may or may not have taken effect.
 type Claims interface {
 	Apply(ctx context.Context, command claim.Command) (claim.Reply, error)
 }
 
-// once is one attempt at a call that must run at most once.
-type once struct {
+// claimAttempt is one attempt at a call that must run at most once.
+type claimAttempt struct {
 	entry *Entry
 	id    claim.ID
 	token string
-	// answer is set once the call's answer is here.
+	// answer is the call's answer, or nil before the server has answered.
 	answer *claim.Answer
 }
 
-// sendOnce runs a call under its claim. The call goes on when its caller
-// leaves, so that the caller's resend finds the answer and not a doubt.
-func (e *Entry) sendOnce(v *visit, r *http.Request, c call, key string) reply {
+// sendOnce runs a call under its claim. The call continues if its caller
+// disconnects, so that a resend by the caller gets the answer instead of an unknown
+// outcome.
+func (e *Entry) sendOnce(in *inbound, r *http.Request, c call, key string) reply {
 	ctx := context.WithoutCancel(r.Context())
-	o := &once{entry: e, id: claim.ID{Contract: c.contract, Key: key}, token: uuid.NewString()}
-	decided, err := o.begin(ctx, fingerprint(r, c))
+	a := &claimAttempt{entry: e, id: claim.ID{Contract: c.contract, Key: key}, token: uuid.NewString()}
+	decision, err := a.begin(ctx, fingerprint(r, c))
 	if err != nil {
-		claimLostCount.Add(1)
-		e.afterwards(ctx, func(ctx context.Context) { o.release(ctx) })
-		return v.fail(failure{
-			status: http.StatusServiceUnavailable, code: codeNoClaims, retryAfter: claimRetry,
+		claimUnavailableCount.Add(1)
+		e.runDetached(ctx, func(ctx context.Context) { a.release(ctx) })
+		return in.fail(failure{
+			status: http.StatusServiceUnavailable, code: codeClaimsUnavailable, retryAfter: claimRetryAfter,
 			message: "it cannot be decided now whether this call may run; it was not run by this request",
 		})
 	}
-	if decided.Verdict != claim.Granted {
-		return v.refuseOnce(decided)
+	if decision.Verdict != claim.Granted {
+		return in.answerFromClaim(decision)
 	}
 	claimGrantedCount.Add(1)
-	c.once = o
-	given := e.admit(v, r.WithContext(ctx), c)
-	if given.said == outcome.NotRun {
-		e.afterwards(ctx, func(ctx context.Context) { o.release(ctx) })
+	c.claim = a
+	result := e.admit(in, r.WithContext(ctx), c)
+	if result.outcome == outcome.NotRun {
+		e.runDetached(ctx, func(ctx context.Context) { a.release(ctx) })
 	}
-	return given
+	return result
 }
 
-// fingerprint identifies a call, so that a key that is used for another call
-// is refused instead of answered with a foreign answer.
+// fingerprint returns a digest of a call. A key that is reused for a different call
+// is refused instead of answered with the answer of the first call.
 func fingerprint(r *http.Request, c call) []byte {
 	hash := sha256.New()
 	for _, part := range []string{r.Method, c.request.Pool, c.path, r.URL.RawQuery} {
@@ -93,44 +96,45 @@
 	return hash.Sum(nil)
 }
 
-func (o *once) begin(ctx context.Context, fingerprint []byte) (claim.Reply, error) {
-	if o.entry.options.Claims == nil {
+func (a *claimAttempt) begin(ctx context.Context, digest []byte) (claim.Reply, error) {
+	if a.entry.options.Claims == nil {
 		return claim.Reply{}, errors.New("this entry has no control instances")
 	}
-	ctx, cancel := context.WithTimeout(ctx, o.entry.options.ClaimTimeout)
+	ctx, cancel := context.WithTimeout(ctx, a.entry.options.ClaimTimeout)
 	defer cancel()
-	return o.entry.options.Claims.Apply(ctx, claim.Command{ID: o.id, Begin: &claim.Begin{Token: o.token, Fingerprint: fingerprint}})
+	return a.entry.options.Claims.Apply(ctx, claim.Command{ID: a.id, Begin: &claim.Begin{Token: a.token, Fingerprint: digest}})
 }
 
-// release says that this attempt did not run and never will.
-func (o *once) release(ctx context.Context) {
-	if o.entry.options.Claims == nil {
+// release records that this attempt did not run and never will.
+func (a *claimAttempt) release(ctx context.Context) {
+	if a.entry.options.Claims == nil {
 		return
 	}
-	if _, err := o.entry.options.Claims.Apply(ctx, claim.Command{ID: o.id, Release: &claim.Release{Token: o.token}}); err != nil {
+	if _, err := a.entry.options.Claims.Apply(ctx, claim.Command{ID: a.id, Release: &claim.Release{Token: a.token}}); err != nil {
 		claimUnsavedCount.Add(1)
 	}
 }
 
-// record keeps an answer for replay before the caller sees it. When control
-// cannot be reached in time the caller gets its answer nevertheless, and the
-// record follows; a resend in between is told that the call is in progress.
-func (o *once) record(response *http.Response) error {
-	head, err := io.ReadAll(io.LimitReader(response.Body, claim.MaxAnswer+1))
+// record stores an answer for replay before the caller receives it. If the control
+// instances cannot be reached in time, the caller gets its answer nevertheless and
+// the answer is stored later; a resend in between is told that the call is in
+// progress.
+func (a *claimAttempt) record(response *http.Response) error {
+	body, err := io.ReadAll(io.LimitReader(response.Body, claim.MaxAnswer+1))
 	if err != nil {
 		return errors.Wrap(err, "read answer")
 	}
-	answer := claim.Answer{Status: response.StatusCode}
-	if len(head) <= claim.MaxAnswer {
-		answer.Kept, answer.Body, answer.Header = true, head, fields(response.Header)
+	recorded := claim.Answer{Status: response.StatusCode}
+	if len(body) <= claim.MaxAnswer {
+		recorded.Kept, recorded.Body, recorded.Header = true, body, claimFields(response.Header)
 	}
-	response.Body = readCloser{io.MultiReader(bytes.NewReader(head), response.Body), response.Body}
-	o.answer = &answer
-	ctx, cancel := context.WithTimeout(context.Background(), finishWait)
+	response.Body = readCloser{io.MultiReader(bytes.NewReader(body), response.Body), response.Body}
+	a.answer = &recorded
+	ctx, cancel := context.WithTimeout(context.Background(), finishTimeout)
 	defer cancel()
-	if err := o.finish(ctx); err != nil {
-		o.entry.afterwards(context.Background(), func(ctx context.Context) {
-			if err := o.finish(ctx); err != nil {
+	if err := a.finish(ctx); err != nil {
+		a.entry.runDetached(context.Background(), func(ctx context.Context) {
+			if err := a.finish(ctx); err != nil {
 				claimUnsavedCount.Add(1)
 			}
 		})
@@ -138,14 +142,14 @@
 	return nil
 }
 
-func (o *once) finish(ctx context.Context) error {
-	_, err := o.entry.options.Claims.Apply(ctx, claim.Command{ID: o.id, Finish: &claim.Finish{Token: o.token, Answer: *o.answer}})
+func (a *claimAttempt) finish(ctx context.Context) error {
+	_, err := a.entry.options.Claims.Apply(ctx, claim.Command{ID: a.id, Finish: &claim.Finish{Token: a.token, Answer: *a.answer}})
 	return err
 }
 
-// afterwards goes on with a claim's end after its caller has its answer. A stop
-// waits for it.
-func (e *Entry) afterwards(ctx context.Context, settle func(context.Context)) {
+// runDetached runs settle, which ends a claim, after the caller has its answer. A
+// stop of the entry waits for it.
+func (e *Entry) runDetached(ctx context.Context, settle func(context.Context)) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 	if !e.gate.Enter() {
 		defer cancel()
@@ -159,49 +163,50 @@
 	}()
 }
 
-func fields(header http.Header) []claim.Field {
+func claimFields(header http.Header) []claim.Field {
 	kept := make(http.Header)
 	relay.CopyHeader(kept, header)
 	dropInternal(kept)
 	kept.Del(wire.HeaderRequestID)
-	var all []claim.Field
+	var fields []claim.Field
 	for name, values := range kept {
 		for _, value := range values {
-			all = append(all, claim.Field{Name: name, Value: value})
+			fields = append(fields, claim.Field{Name: name, Value: value})
 		}
 	}
-	return all
+	return fields
 }
 
-// refuseOnce answers a call that may not run, from what the claim says.
-func (v *visit) refuseOnce(decided claim.Reply) reply {
-	switch decided.Verdict {
+// answerFromClaim answers a call that may not run, according to the claim's
+// verdict.
+func (in *inbound) answerFromClaim(decision claim.Reply) reply {
+	switch decision.Verdict {
 	case claim.Replay:
-		return v.replay(decided.Answer)
+		return in.replay(decision.Answer)
 	case claim.InDoubt:
-		claimDoubtCount.Add(1)
-		return v.fail(failure{
-			status: http.StatusConflict, code: codeInProgress, retryAfter: claimRetry,
+		claimInDoubtCount.Add(1)
+		return in.fail(failure{
+			status: http.StatusConflict, code: codeInProgress, retryAfter: claimRetryAfter,
 			message: "the call with this Idempotency-Key is running, or its fate is unknown; ask again at /claims/",
 		})
 	case claim.Mismatch:
-		return v.fail(failure{status: http.StatusUnprocessableEntity, code: codeKeyReused, message: "this Idempotency-Key was used for another call"})
+		return in.fail(failure{status: http.StatusUnprocessableEntity, code: codeKeyReused, message: "this Idempotency-Key was used for another call"})
 	case claim.TooOld:
-		return v.fail(failure{status: http.StatusGone, code: codeKeyExpired, message: "this Idempotency-Key was used too long ago; the call was not run again"})
+		return in.fail(failure{status: http.StatusGone, code: codeKeyExpired, message: "this Idempotency-Key was used too long ago; the call was not run again"})
 	case claim.BadKey:
-		return v.fail(failure{status: http.StatusBadRequest, code: codeKeyInvalid, message: "this Idempotency-Key is too long, or its time lies in the future"})
+		return in.fail(failure{status: http.StatusBadRequest, code: codeKeyInvalid, message: "this Idempotency-Key is too long, or its time lies in the future"})
 	default:
-		return v.fail(failure{status: http.StatusServiceUnavailable, code: codeClaimsFull, message: "no further calls with a key can be accepted now", retryAfter: claimRetry})
+		return in.fail(failure{status: http.StatusServiceUnavailable, code: codeClaimsFull, message: "no further calls with a key can be accepted now", retryAfter: claimRetryAfter})
 	}
 }
 
-func (v *visit) replay(kept *claim.Answer) reply {
+func (in *inbound) replay(kept *claim.Answer) reply {
 	if !kept.Kept {
-		return v.fail(failure{status: http.StatusConflict, code: codeAnswerNotKept, message: "the call ran and was answered; its answer was too large to keep"})
+		return in.fail(failure{status: http.StatusConflict, code: codeAnswerNotKept, message: "the call ran and was answered; its answer was too large to keep"})
 	}
-	claimReplayCount.Add(1)
+	claimReplayedCount.Add(1)
 	countOutcome(outcome.Answered)
-	header := v.ownHeader()
+	header := in.newHeader()
 	for _, field := range kept.Header {
 		header.Add(field.Name, field.Value)
 	}
@@ -210,39 +215,39 @@
 	return reply{answer.Full(kept.Status, header, kept.Body), outcome.Answered}
 }
 
-// claimView is what a caller reads about its call.
+// claimView is the state of a claim as shown to its caller.
 type claimView struct {
 	Key   string      `json:"key"`
 	State claim.State `json:"state"`
-	// Status is the status of the answer of a finished call.
+	// Status is the HTTP status of the answer if the call is finished.
 	Status int `json:"status,omitempty"`
 }
 
-// lookUpClaim tells a caller what became of a call whose outcome it was not
+// lookUpClaim answers with the state of a call whose outcome its caller was not
 // told.
-func (e *Entry) lookUpClaim(v *visit, r *http.Request) reply {
+func (e *Entry) lookUpClaim(in *inbound, r *http.Request) reply {
 	customer, problem := e.authenticate(r)
 	if problem != nil {
-		return v.fail(*problem)
+		return in.fail(*problem)
 	}
 	key := chi.URLParam(r, "key")
 	ctx, cancel := context.WithTimeout(r.Context(), e.options.ClaimTimeout)
 	defer cancel()
-	found, err := e.look(ctx, claim.ID{Contract: customer.ID, Key: key})
+	found, err := e.lookUp(ctx, claim.ID{Contract: customer.ID, Key: key})
 	if err != nil {
-		return v.fail(failure{status: http.StatusServiceUnavailable, code: codeNoClaims, message: "the claims cannot be read now", retryAfter: claimRetry})
+		return in.fail(failure{status: http.StatusServiceUnavailable, code: codeClaimsUnavailable, message: "the claims cannot be read now", retryAfter: claimRetryAfter})
 	}
 	if found.Verdict == claim.None {
-		return v.fail(failure{status: http.StatusNotFound, code: codeNoClaim, message: "no call with this Idempotency-Key has been claimed"})
+		return in.fail(failure{status: http.StatusNotFound, code: codeUnknownClaim, message: "no call with this Idempotency-Key has been claimed"})
 	}
 	view := claimView{Key: key, State: found.State}
 	if found.Answer != nil {
 		view.Status = found.Answer.Status
 	}
-	return reply{Answer: inJSON(http.StatusOK, v.ownHeader(), view)}
+	return reply{Answer: jsonAnswer(http.StatusOK, in.newHeader(), view)}
 }
 
-func (e *Entry) look(ctx context.Context, id claim.ID) (claim.Reply, error) {
+func (e *Entry) lookUp(ctx context.Context, id claim.ID) (claim.Reply, error) {
 	if e.options.Claims == nil {
 		return claim.Reply{}, errors.New("this entry has no control instances")
 	}
--- a/internal/entry/placer.go
+++ b/internal/entry/placer.go
@@ -9,14 +9,14 @@
 	"github.com/rosemarypass/rosemarypass/coord/placement"
 )
 
-// placer guards the selector, which all requests of the entry share, and shows
-// it each new state of the directory once.
+// placer guards the selector, which all requests of the entry share. It passes each
+// new state of the directory to the selector once.
 type placer struct {
 	directory func() []membership.Announcement
 
 	mu       sync.Mutex
 	selector *placement.Selector
-	seen     []membership.Announcement
+	observed []membership.Announcement
 }
 
 func newPlacer(options placement.SelectorOptions, directory func() []membership.Announcement) *placer {
@@ -26,15 +26,15 @@
 	}
 }
 
-// pick chooses a server and counts the request as sent there.
+// pick chooses a server and counts the request as dispatched to it.
 func (p *placer) pick(request placement.Request) (placement.Server, bool) {
 	announced := p.directory()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	if !sameSlice(announced, p.seen) {
+	if !sameSlice(announced, p.observed) {
 		p.selector.Observe(announced, now)
-		p.seen = announced
+		p.observed = announced
 	}
 	server, ok := p.selector.Pick(request, now)
 	if ok {
@@ -44,21 +44,24 @@
 	return server, ok
 }
 
-// finished ends a request that pick sent; ran is 0 when it did not run.
+// finished records the end of a request that pick dispatched; ran is 0 if it did
+// not run.
 func (p *placer) finished(server string, ref catalogue.Ref, ran time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.selector.Finished(server, ref, ran, time.Now())
 }
 
-// declined ends a request that pick sent and the server had no slot for.
+// declined records that the server had no free slot for a request that pick
+// dispatched.
 func (p *placer) declined(server string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.selector.Declined(server, time.Now())
 }
 
-// sameSlice tells whether two directory states are one and the same.
+// sameSlice reports whether a and b are the same slice, and therefore the same
+// state of the directory.
 func sameSlice(a, b []membership.Announcement) bool {
 	if len(a) != len(b) {
 		return false
--- a/internal/entry/priority.go
+++ b/internal/entry/priority.go
@@ -6,11 +6,11 @@
 	"github.com/pkg/errors"
 )
 
-// withPriority returns a completion's body with the contract's priority in
-// place of whatever the caller wrote: a caller that chose its own would run ahead
-// of other customers in the engines' queues. Engines serve the lowest number
-// first, as vLLM does, and some refuse the field when they do not schedule by
-// priority; so it is left out for priority 0.
+// withPriority returns the body of a completion with its priority set to that of
+// the contract. A caller that chose its own priority could run ahead of other
+// customers in the engines' queues. Engines serve the lowest number first, as vLLM
+// does, and some refuse the field if they do not schedule by priority; therefore it
+// is omitted for priority 0.
 func withPriority(body []byte, caller callerBody, priority int) ([]byte, error) {
 	if priority == 0 && caller.Priority == nil {
 		return body, nil
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -26,12 +26,13 @@
 )
 
 const (
-	// resumeTries is how often an entry tries to go on with a cut answer
-	// without getting any further. All of them fit into the agent's lease.
-	resumeTries = 4
-	// resumePause is the longest pause before the first try; it doubles.
-	resumePause = 50 * time.Millisecond
-	// cancelTimeout bounds the word to an agent that a caller left.
+	// maxResumeAttempts is the maximum number of attempts to resume a cut answer
+	// without progress. All of them fit into the agent's lease.
+	maxResumeAttempts = 4
+	// resumeBackoff is the maximum pause before the first attempt; it doubles with
+	// each further attempt.
+	resumeBackoff = 50 * time.Millisecond
+	// cancelTimeout bounds the request to an agent that cancels a run.
 	cancelTimeout = time.Second
 )
 
@@ -40,19 +41,20 @@
 	errCrashed    = errors.New("the server crashed with the request on it")
 )
 
-// resume asks the agent for the rest of an answer whose connection was cut.
+// resume requests the rest of an answer from the agent after its connection was
+// cut.
 func (e *Entry) resume(ctx context.Context, r *http.Request, c call, server placement.Server, offset int64) (*http.Response, error) {
-	for try := range resumeTries {
-		// A random pause, so that the answers of one broken connection do
-		// not all come back in one burst.
-		if err := wait.For(ctx, rand.N(resumePause<<try)); err != nil {
+	for attempt := range maxResumeAttempts {
+		// The pause is random so that the answers cut by one broken connection are
+		// not all resumed in one burst.
+		if err := wait.For(ctx, rand.N(resumeBackoff<<attempt)); err != nil {
 			return nil, err
 		}
-		response, err := e.askRun(ctx, r, server, http.MethodGet, offset)
+		response, err := e.callRun(ctx, r, server, http.MethodGet, offset)
 		if err != nil {
 			continue
 		}
-		if judge(c, server, response) != outcome.Answered {
+		if responseOutcome(c, server, response) != outcome.Answered {
 			_ = response.Body.Close()
 			if response.Header.Get(wire.HeaderCrashed) != "" {
 				return nil, errCrashed
@@ -66,8 +68,8 @@
 	return nil, errNotResumed
 }
 
-// askRun calls the agent about a request that it runs.
-func (e *Entry) askRun(ctx context.Context, r *http.Request, server placement.Server, method string, offset int64) (*http.Response, error) {
+// callRun sends a request to the agent about one of its runs.
+func (e *Entry) callRun(ctx context.Context, r *http.Request, server placement.Server, method string, offset int64) (*http.Response, error) {
 	path := fmt.Sprintf("%s%s?%s=%d", wire.PathRuns, r.Header.Get(wire.HeaderRequestID), wire.QueryOffset, offset)
 	url := e.url(server.Announcement, path)
 	request, err := http.NewRequestWithContext(ctx, method, url, http.NoBody)
@@ -78,92 +80,96 @@
 	return e.client.Do(request)
 }
 
-// cancelRun tells the agent that nobody waits for a request any more. When the
-// word is lost, the agent's lease ends the work.
+// cancelRun tells the agent that no caller waits for the run any more. If the
+// request is lost, the run ends when its lease at the agent expires.
 func (e *Entry) cancelRun(r *http.Request, server placement.Server) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), cancelTimeout)
 	go func() {
 		defer cancel()
-		response, err := e.askRun(ctx, r, server, http.MethodDelete, 0)
+		response, err := e.callRun(ctx, r, server, http.MethodDelete, 0)
 		if err == nil {
 			_ = response.Body.Close()
 		}
 	}()
 }
 
-// source reads an answer's body, and goes on at the same byte when the connection
-// to the agent is cut.
-type source struct {
+// resumableBody reads the body of an answer. If the connection to the agent is cut,
+// it resumes at the same byte.
+type resumableBody struct {
 	exchange *exchange
-	// begun is the response that the answer began with, current the one whose
-	// body is read.
-	begun, current *http.Response
+	// first is the response that started the answer, current the one whose body is
+	// read.
+	first, current *http.Response
 	reader         io.Reader
 	offset         int64
-	// cutAt is the offset of the last cut, barren how many cuts there were at it.
-	cutAt  int64
-	barren int
+	// cutOffset is the offset of the last cut, cutsAtOffset the number of cuts at
+	// that offset.
+	cutOffset    int64
+	cutsAtOffset int
 }
 
-func (x *exchange) source(response *http.Response) *source {
-	return &source{exchange: x, begun: response, current: response, reader: x.watched(response.Body)}
+func (x *exchange) newResumableBody(response *http.Response) *resumableBody {
+	return &resumableBody{exchange: x, first: response, current: response, reader: x.withStallTimeout(response.Body)}
 }
 
-func (x *exchange) watched(body io.Reader) io.Reader {
+func (x *exchange) withStallTimeout(body io.Reader) io.Reader {
 	return x.watchdog.Reader(body, x.entry.options.StallTimeout)
 }
 
 // Read implements io.Reader.
-func (s *source) Read(buffer []byte) (int, error) {
-	n, err := s.reader.Read(buffer)
-	s.offset += int64(n)
-	if err == nil || err == io.EOF || !s.goOn() {
+func (b *resumableBody) Read(buffer []byte) (int, error) {
+	n, err := b.reader.Read(buffer)
+	b.offset += int64(n)
+	if err == nil || err == io.EOF || !b.resume() {
 		return n, err
 	}
 	return n, nil
 }
 
-// trailer is what followed the body, once it was read to its end.
-func (s *source) trailer() http.Header { return s.current.Trailer }
+// trailer returns the trailer of the response, which is complete once the body has
+// been read to its end.
+func (b *resumableBody) trailer() http.Header { return b.current.Trailer }
 
-// goOn takes the rest from the agent.
-func (s *source) goOn() bool {
-	x := s.exchange
-	if !gated(x.server.Announcement) || errors.Is(context.Cause(x.ctx), relay.ErrStalled) {
+// resume continues with the rest of the answer from the agent and reports whether
+// that succeeded.
+func (b *resumableBody) resume() bool {
+	x := b.exchange
+	if !hasAgent(x.server.Announcement) || errors.Is(context.Cause(x.ctx), relay.ErrStalled) {
 		return false
 	}
-	if s.cutAt != s.offset {
-		s.cutAt, s.barren = s.offset, 0
+	if b.cutOffset != b.offset {
+		b.cutOffset, b.cutsAtOffset = b.offset, 0
 	}
-	if s.barren++; s.barren > resumeTries {
+	if b.cutsAtOffset++; b.cutsAtOffset > maxResumeAttempts {
 		resumeFailedCount.Add(1)
 		return false
 	}
 	x.watchdog.Touch(x.entry.options.StallTimeout)
-	next, err := x.entry.resume(x.ctx, x.request, x.call, x.server, s.offset)
+	next, err := x.entry.resume(x.ctx, x.request, x.call, x.server, b.offset)
 	if err != nil {
 		x.crashed = errors.Is(err, errCrashed)
 		return false
 	}
-	if !sameKind(s.begun, next) {
+	if !isContinuation(b.first, next) {
 		resumeFailedCount.Add(1)
 		_ = next.Body.Close()
 		return false
 	}
 	_ = x.body.Close()
-	x.body, s.current, s.reader = next.Body, next, x.watched(next.Body)
+	x.body, b.current, b.reader = next.Body, next, x.withStallTimeout(next.Body)
 	return true
 }
 
-// sameKind reports whether an answer can be the rest of another. An agent keeps
-// the header of a run; another process at its address does not.
-func sameKind(begun, rest *http.Response) bool {
-	return begun.StatusCode == rest.StatusCode && maps.EqualFunc(lasting(begun.Header), lasting(rest.Header), slices.Equal)
+// isContinuation reports whether rest can be the rest of the answer that first
+// started. An agent keeps the header of a run; another process at its address does
+// not have the same one.
+func isContinuation(first, rest *http.Response) bool {
+	return first.StatusCode == rest.StatusCode && maps.EqualFunc(stableHeaders(first.Header), stableHeaders(rest.Header), slices.Equal)
 }
 
-// lasting are the headers that do not depend on when and how much of an answer an
-// agent gives.
-func lasting(header http.Header) http.Header {
+// stableHeaders returns the headers that do not depend on when and from which
+// offset an agent sends an answer.
+func stableHeaders(header http.Header) http.Header {
 	kept := make(http.Header)
 	relay.CopyHeader(kept, header)
 	kept.Del("Date")
--- a/internal/entry/retries.go
+++ b/internal/entry/retries.go
@@ -17,35 +17,35 @@
 var (
 	retryCount           = telemetry.Counter("entry_retries")
 	retryRefusedContract = telemetry.Counter("entry_retries_refused_contract_budget")
-	retryRefusedAll      = telemetry.Counter("entry_retries_refused_total_budget")
+	retryRefusedTotal    = telemetry.Counter("entry_retries_refused_total_budget")
 )
 
-// retries guards the retry budgets, which all requests of the entry share.
-type retries struct {
+// retrier guards the retry budgets, which all requests of the entry share.
+type retrier struct {
 	mu     sync.Mutex
 	budget *retry.Budget
 }
 
-func newRetries(limits retry.Limits) *retries { return &retries{budget: retry.NewBudget(limits)} }
+func newRetrier(limits retry.Limits) *retrier { return &retrier{budget: retry.NewBudget(limits)} }
 
-func (s *retries) began(contract string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.budget.Began(contract)
+func (r *retrier) began(contract string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.budget.Began(contract)
 }
 
-// again reports whether the call may be offered to another server, once its
-// pause is over.
-func (s *retries) again(ctx context.Context, c call, attempt int, said outcome.Outcome) bool {
+// waitForRetry waits for the pause before a retry and reports whether the call may
+// then be sent to another server.
+func (r *retrier) waitForRetry(ctx context.Context, c call, attempt int, last outcome.Outcome) bool {
 	if ctx.Err() != nil {
 		return false
 	}
-	decision := s.next(ctx, c, attempt, said)
+	decision := r.next(ctx, c, attempt, last)
 	switch decision.Reason {
 	case retry.ReasonContractBudget:
 		retryRefusedContract.Add(1)
 	case retry.ReasonTotalBudget:
-		retryRefusedAll.Add(1)
+		retryRefusedTotal.Add(1)
 	}
 	if !decision.Again {
 		return false
@@ -54,17 +54,17 @@
 	return wait.For(ctx, decision.After) == nil
 }
 
-func (s *retries) next(ctx context.Context, c call, attempt int, said outcome.Outcome) retry.Decision {
+func (r *retrier) next(ctx context.Context, c call, attempt int, last outcome.Outcome) retry.Decision {
 	deadline, _ := ctx.Deadline()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.budget.Next(retry.Ended{
-		Contract: c.contract, Attempt: attempt, Outcome: said, Idempotent: c.idempotent,
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.budget.Next(retry.Ended{
+		Contract: c.contract, Attempt: attempt, Outcome: last, Idempotent: c.idempotent,
 		Now: time.Now(), Deadline: deadline, Jitter: rand.Float64(),
 	})
 }
 
-// withTimeout bounds a request by the time that its caller set.
+// withTimeout bounds the context of a request by the timeout that the caller set.
 func withTimeout(ctx context.Context, header http.Header) (context.Context, context.CancelFunc, *failure) {
 	text := header.Get(wire.HeaderTimeout)
 	if text == "" {
@@ -72,7 +72,7 @@
 	}
 	timeout, err := time.ParseDuration(text)
 	if err != nil || timeout <= 0 {
-		return ctx, nil, &failure{status: http.StatusBadRequest, code: codeTimeout, message: wire.HeaderTimeout + ` must be a duration with a unit, such as "2s"`}
+		return ctx, nil, &failure{status: http.StatusBadRequest, code: codeInvalidTimeout, message: wire.HeaderTimeout + ` must be a duration with a unit, such as "2s"`}
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	return ctx, cancel, nil
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -12,80 +12,81 @@
 	"github.com/rosemarypass/rosemarypass/coord/suspicion"
 )
 
-// call is a request that was admitted and may be offered to servers.
+// call is a request that may be sent to servers.
 type call struct {
 	request placement.Request
 	// contract is the ID of the caller's contract.
 	contract string
-	// ask is what the call asks of its contract's limits.
+	// ask is the admission request of the call.
 	ask        Ask
 	path       string
 	body       []byte
 	idempotent bool
-	// fingerprint identifies the request when it is suspected of a crash;
-	// it is empty where nothing is suspected. suspect is true when it was at
-	// a server that crashed.
+	// fingerprint identifies the request for suspicions of a crash; it is empty for
+	// calls of plain services, which are never suspected. suspect is true if the
+	// request ran on a server that crashed.
 	fingerprint suspicion.Fingerprint
 	suspect     bool
-	// once is set for a call that must run at most once.
-	once *once
-	// wait is what is left of the contract's longest wait.
+	// claim is set if the call must run at most once.
+	claim *claimAttempt
+	// wait is the remaining part of the contract's longest wait.
 	wait *waitBudget
-	// declined lists the servers that had no adapter slot for the call;
-	// patient is true once it waits for one.
-	declined []string
-	patient  bool
+	// declined lists the servers that had no free adapter slot for the call.
+	// waitForSlot is true once the call waits at a server for a slot.
+	declined    []string
+	waitForSlot bool
 }
 
-// send offers the call to servers until one answers, one may have run a call
-// that must not run twice, or no further attempt is allowed.
-func (e *Entry) send(v *visit, r *http.Request, c call) reply {
+// send sends the call to one server after another until one answers, one may have
+// run a call that must not run twice, or no further attempt is allowed.
+func (e *Entry) send(in *inbound, r *http.Request, c call) reply {
 	e.retries.began(c.contract)
-	doubt := false
+	inDoubt := false
 	for attempt := 1; ; attempt++ {
-		server, ok := e.place(&c)
+		server, ok := e.pickServer(&c)
 		if !ok {
 			break
 		}
-		declines := len(c.declined)
-		got, problem := e.try(v, r, &c, server)
+		declinedBefore := len(c.declined)
+		result, problem := e.tryServer(in, r, &c, server)
 		if problem != nil {
-			return v.fail(problem.after(doubt))
+			return in.fail(problem.withDoubt(inDoubt))
 		}
-		if len(c.declined) > declines && r.Context().Err() == nil {
+		if len(c.declined) > declinedBefore && r.Context().Err() == nil {
 			attempt--
 			continue
 		}
-		if got.said == outcome.Answered {
-			return reply{got.answer, got.said}
+		if result.outcome == outcome.Answered {
+			return reply{result.answer, result.outcome}
 		}
-		doubt = doubt || got.said == outcome.Unknown
-		if c.wait.over() || !e.retries.again(r.Context(), c, attempt, got.said) {
+		inDoubt = inDoubt || result.outcome == outcome.Unknown
+		if c.wait.exhausted() || !e.retries.waitForRetry(r.Context(), c, attempt, result.outcome) {
 			break
 		}
 		c.request.Exclude = append(c.request.Exclude, server.Server)
 	}
-	problem := gaveUp(r.Context(), doubt)
+	problem := noAnswer(r.Context(), inDoubt)
 	if refused, ok := c.wait.failure(); ok && problem.code == codeNoServer {
 		problem = refused
 	}
-	if doubt && !c.idempotent && c.once == nil {
-		// To resend this call could run it twice: invite nobody to do so.
+	if inDoubt && !c.idempotent && c.claim == nil {
+		// A resend could run this call twice, so the caller is not invited to
+		// retry.
 		problem.retryAfter = 0
 	}
-	return v.fail(problem)
+	return in.fail(problem)
 }
 
-// try offers the call to a server, in a trial when it is a suspect.
-func (e *Entry) try(v *visit, r *http.Request, c *call, server placement.Server) (attempted, *failure) {
-	attempt := func(r *http.Request) attempted {
-		got := e.attempt(v, r, *c, server)
-		c.suspect = c.suspect || got.crashed
-		if got.declined {
+// tryServer sends the call to a server, in a trial if the call is a suspect.
+func (e *Entry) tryServer(in *inbound, r *http.Request, c *call, server placement.Server) (attemptResult, *failure) {
+	attempt := func(r *http.Request) attemptResult {
+		result := e.attempt(in, r, *c, server)
+		c.suspect = c.suspect || result.crashed
+		if result.declined {
 			declinedCount.Add(1)
 			c.declined = append(c.declined, server.Server)
 		}
-		return got
+		return result
 	}
 	if !c.suspect || e.options.Suspicions == nil {
 		return attempt(r), nil
@@ -93,23 +94,24 @@
 	t, problem := e.beginTrial(r.Context(), c.fingerprint)
 	if problem != nil {
 		e.placer.finished(server.Server, c.request.Ref, 0)
-		return attempted{said: outcome.NotRun}, problem
+		return attemptResult{outcome: outcome.NotRun}, problem
 	}
 	if t == nil {
 		c.suspect = false
 		return attempt(r), nil
 	}
-	return e.tryAlone(v, r, t, attempt), nil
+	return e.runTrial(in, r, t, attempt), nil
 }
 
-// gaveUp is the answer when no attempt brought one. doubt is true when a
-// server may have run the call. It goes out at once and tells when to come back.
-func gaveUp(ctx context.Context, doubt bool) failure {
+// noAnswer returns the failure for a call that no attempt answered. inDoubt is true
+// if a server may have run the call. The failure is sent immediately and tells the
+// caller when to retry.
+func noAnswer(ctx context.Context, inDoubt bool) failure {
 	late := errors.Is(ctx.Err(), context.DeadlineExceeded)
 	switch {
-	case doubt && late:
+	case inDoubt && late:
 		return failure{status: http.StatusGatewayTimeout, code: codeUnknownOutcome, message: "the time that the caller set is over; the call may have run", retryAfter: 1}
-	case doubt:
+	case inDoubt:
 		return failure{status: http.StatusBadGateway, code: codeUnknownOutcome, message: "no server gave an answer; the call may have run", retryAfter: 1}
 	case late:
 		return failure{status: http.StatusGatewayTimeout, code: codeDeadline, message: "the time that the caller set is over", retryAfter: 1}
@@ -118,6 +120,7 @@
 	}
 }
 
-// gated reports whether a gate of this system stands before the server, whose
-// word on a request's outcome counts. A plain service may set any header.
-func gated(server membership.Announcement) bool { return server.Agent }
+// hasAgent reports whether an agent of this system stands in front of the server.
+// Only an agent's report of a request's outcome is trusted, because a plain service
+// may set any header.
+func hasAgent(server membership.Announcement) bool { return server.Agent }
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -10,26 +10,26 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-func (e *Entry) callService(v *visit, r *http.Request) reply {
+func (e *Entry) callService(in *inbound, r *http.Request) reply {
 	customer, problem := e.authenticate(r)
 	if problem != nil {
-		return v.fail(*problem)
+		return in.fail(*problem)
 	}
 	name, path := chi.URLParam(r, "service"), "/"+chi.URLParam(r, "*")
 	service, ok := e.follower.Config().Service(name)
 	if !ok || !customer.AllowsService(name) {
-		return v.fail(failure{status: http.StatusNotFound, code: codeUnknownService, message: "the contract covers no service " + name})
+		return in.fail(failure{status: http.StatusNotFound, code: codeUnknownService, message: "the contract covers no service " + name})
 	}
 	route, ok := service.Match(r.Method, path)
 	if !ok {
-		return v.fail(failure{status: http.StatusNotFound, code: codeUnknownRoute, message: "the service declares no such route"})
+		return in.fail(failure{status: http.StatusNotFound, code: codeUnknownRoute, message: "the service declares no such route"})
 	}
 	if route.RequireKey && r.Header.Get(wire.HeaderIdempotencyKey) == "" {
-		return v.fail(failure{status: http.StatusBadRequest, code: codeKeyRequired, message: "this route requires an Idempotency-Key"})
+		return in.fail(failure{status: http.StatusBadRequest, code: codeKeyRequired, message: "this route requires an Idempotency-Key"})
 	}
-	body, problem := e.readBody(v, r)
+	body, problem := e.readBody(in, r)
 	if problem != nil {
-		return v.fail(*problem)
+		return in.fail(*problem)
 	}
 	c := call{
 		request:    placement.Request{Kind: membership.KindService, Pool: name},
@@ -40,7 +40,7 @@
 		idempotent: route.Idempotent,
 	}
 	if key := r.Header.Get(wire.HeaderIdempotencyKey); key != "" && !route.Idempotent {
-		return e.sendOnce(v, r, c, key)
+		return e.sendOnce(in, r, c, key)
 	}
-	return e.admit(v, r, c)
+	return e.admit(in, r, c)
 }
--- a/internal/entry/trial.go
+++ b/internal/entry/trial.go
@@ -23,25 +23,30 @@
 )
 
 const (
-	// trialWait bounds the wait for a trial, trialPause is the time between
-	// two questions, and askTimeout bounds one.
-	trialWait  = 20 * time.Second
-	trialPause = 200 * time.Millisecond
-	askTimeout = 3 * time.Second
-	// trialMargin is how long before its lease an entry ends its trial.
+	// trialTimeout bounds the wait for permission to run a trial, trialPollInterval
+	// is the time between two requests for it, and verdictTimeout bounds one of
+	// them.
+	trialTimeout      = 20 * time.Second
+	trialPollInterval = 200 * time.Millisecond
+	verdictTimeout    = 3 * time.Second
+	// trialMargin is how long before the end of a trial's lease the entry ends the
+	// trial.
 	trialMargin = 10 * time.Second
-	// convictedRetry is when a convicted request may come back, in seconds.
-	convictedRetry = 3600
-	// fingerprintSize is how much of the digest names a request, in bytes.
+	// convictedRetryAfter is the time after which a convicted request may be sent
+	// again, in seconds.
+	convictedRetryAfter = 3600
+	// fingerprintSize is the length of the prefix of the digest that identifies a
+	// request, in bytes.
 	fingerprintSize = 16
 )
 
-// Suspicions decides whether a request that was at a crash may run.
+// Suspicions decides whether a request that is suspected of a crash may run.
 type Suspicions interface {
 	Suspect(ctx context.Context, command suspicion.Command) (suspicion.Verdict, error)
 }
 
-// crashFingerprint identifies a request by what a crash could come from.
+// crashFingerprint returns a digest of everything in a request that can cause a
+// crash.
 func crashFingerprint(c call) suspicion.Fingerprint {
 	hash := sha256.New()
 	for _, part := range []string{c.contract, c.request.Ref.String(), c.path} {
@@ -59,11 +64,11 @@
 	token       string
 }
 
-// beginTrial waits until a suspect may run. It returns nil when nothing is
-// held against the request any more, and a failure when it may not run.
+// beginTrial waits until a suspect may run. It returns a nil trial if the request
+// is no longer suspected, and a failure if it may not run.
 func (e *Entry) beginTrial(ctx context.Context, fingerprint suspicion.Fingerprint) (*trial, *failure) {
 	t := &trial{entry: e, fingerprint: fingerprint, token: uuid.NewString()}
-	ctx, cancel := context.WithTimeout(ctx, trialWait)
+	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
 	for {
 		switch t.ask(ctx) {
@@ -75,11 +80,11 @@
 		case suspicion.Refuse:
 			convictedCount.Add(1)
 			return nil, &failure{
-				status: http.StatusUnprocessableEntity, code: codeConvicted, retryAfter: convictedRetry,
+				status: http.StatusUnprocessableEntity, code: codeConvicted, retryAfter: convictedRetryAfter,
 				message: "this request crashed the backend servers that ran it; it is refused for a time",
 			}
 		}
-		if wait.For(ctx, trialPause) != nil {
+		if wait.For(ctx, trialPollInterval) != nil {
 			return nil, &failure{
 				status: http.StatusServiceUnavailable, code: codeSuspect, retryAfter: 1,
 				message: "this request was at a backend server that crashed and must run alone; no server is free for that now",
@@ -89,7 +94,7 @@
 }
 
 func (t *trial) ask(ctx context.Context) suspicion.Verdict {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, verdictTimeout)
 	defer cancel()
 	verdict, err := t.entry.options.Suspicions.Suspect(ctx, suspicion.Command{Ask: &suspicion.Ask{Fingerprint: t.fingerprint, Token: t.token}})
 	if err != nil {
@@ -98,33 +103,33 @@
 	return verdict
 }
 
-// end ends a trial by what became of it. A crash was reported by the agent,
-// and the trial of a request in doubt ends with its lease.
-func (t *trial) end(ctx context.Context, said outcome.Outcome) {
-	if said == outcome.Unknown {
+// end reports the outcome of a trial. A crash is reported by the agent, and the
+// trial of a request with an unknown outcome ends when its lease expires.
+func (t *trial) end(ctx context.Context, result outcome.Outcome) {
+	if result == outcome.Unknown {
 		return
 	}
-	t.entry.afterwards(ctx, func(ctx context.Context) {
-		_, _ = t.entry.options.Suspicions.Suspect(ctx, suspicion.Command{End: &suspicion.End{Fingerprint: t.fingerprint, Token: t.token, Survived: said == outcome.Answered}})
+	t.entry.runDetached(ctx, func(ctx context.Context) {
+		_, _ = t.entry.options.Suspicions.Suspect(ctx, suspicion.Command{End: &suspicion.End{Fingerprint: t.fingerprint, Token: t.token, Survived: result == outcome.Answered}})
 	})
 }
 
-// tryAlone offers a suspect to a server that runs nothing else meanwhile.
-func (e *Entry) tryAlone(v *visit, r *http.Request, t *trial, attempt func(*http.Request) attempted) attempted {
+// runTrial sends a suspect to a server that runs nothing else meanwhile.
+func (e *Entry) runTrial(in *inbound, r *http.Request, t *trial, attempt func(*http.Request) attemptResult) attemptResult {
 	ctx, cancel := context.WithTimeout(r.Context(), suspicion.DefaultLimits.TrialLease-trialMargin)
-	v.atEnd(cancel)
+	in.addCleanup(cancel)
 	alone := r.Clone(ctx)
 	alone.Header.Set(wire.HeaderAlone, "true")
-	got := attempt(alone)
-	if got.said != outcome.Answered {
+	result := attempt(alone)
+	if result.outcome != outcome.Answered {
 		cancel()
-		t.end(r.Context(), got.said)
-		return got
+		t.end(r.Context(), result.outcome)
+		return result
 	}
-	v.atEnd(func() {
-		if v.whole {
+	in.addCleanup(func() {
+		if in.complete {
 			t.end(r.Context(), outcome.Answered)
 		}
 	})
-	return got
+	return result
 }
--- a/internal/entry/visit.go
+++ b/internal/entry/visit.go
@@ -12,75 +12,77 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// visit is one request of a caller, from its arrival until its answer is out.
-type visit struct {
+// inbound is one request of a caller, from its arrival until its answer is complete
+// or cut.
+type inbound struct {
 	// id identifies the request on every hop.
 	id string
-	// readDeadline bounds how long the caller may take to send its body.
+	// readDeadline sets the deadline for reading the caller's body.
 	readDeadline func(time.Time) error
-	// ends are run when the answer is out or was cut, the last one first.
-	ends  []func()
-	meter meter
-	// whole is true once the whole of a server's answer was passed on.
-	whole bool
+	// cleanups are run in reverse order when the answer is complete or cut.
+	cleanups []func()
+	meter    meter
+	// complete is true once a server's answer was relayed completely.
+	complete bool
 }
 
-// atEnd has a function run when the answer is out or was cut. What an answer
-// needs on its way cannot be ended when a handler returns.
-func (v *visit) atEnd(end func()) { v.ends = append(v.ends, end) }
+// addCleanup registers a function to run when the answer is complete or cut.
+// Resources that a streamed answer uses must not be released when the handler
+// returns.
+func (in *inbound) addCleanup(cleanup func()) { in.cleanups = append(in.cleanups, cleanup) }
 
-func (v *visit) end() {
-	for len(v.ends) > 0 {
-		last := len(v.ends) - 1
-		end := v.ends[last]
-		v.ends = v.ends[:last]
-		end()
+func (in *inbound) cleanUp() {
+	for len(in.cleanups) > 0 {
+		last := len(in.cleanups) - 1
+		cleanup := in.cleanups[last]
+		in.cleanups = in.cleanups[:last]
+		cleanup()
 	}
 }
 
-// reply is what a caller gets, and what that says of its request's fate.
+// reply is an answer to a caller and the outcome that it reports.
 type reply struct {
 	answer.Answer
-	said outcome.Outcome
+	outcome outcome.Outcome
 }
 
-// handle answers one kind of request.
-type handle func(v *visit, r *http.Request) reply
+// handlerFunc answers one kind of request.
+type handlerFunc func(in *inbound, r *http.Request) reply
 
-// serve is the only place where a caller's connection is seen: what a handler
-// returns is written by the answer package.
-func (e *Entry) serve(h handle) http.Handler {
+// serve is the only function with access to a caller's connection: the answer that
+// a handler returns is written by the answer package.
+func (e *Entry) serve(h handlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		v := &visit{id: uuid.NewString(), readDeadline: http.NewResponseController(w).SetReadDeadline}
-		// Deferred, because an answer that breaks off panics with
-		// ErrAbortHandler.
-		defer v.end()
+		in := &inbound{id: uuid.NewString(), readDeadline: http.NewResponseController(w).SetReadDeadline}
+		// Deferred, because an answer that is cut panics with http.ErrAbortHandler.
+		defer in.cleanUp()
 		answered := func(r *http.Request) answer.Answer {
-			return e.receive(v, r, h).WithWriteTimeout(e.options.WriteTimeout)
+			return e.receive(in, r, h).WithWriteTimeout(e.options.WriteTimeout)
 		}
 		answer.Handler(answered).ServeHTTP(w, r)
 	})
 }
 
-// receive lets a request in and handles it.
-func (e *Entry) receive(v *visit, r *http.Request, h handle) reply {
+// receive registers a request with the drain gate, checks the entry's freshness and
+// calls the handler.
+func (e *Entry) receive(in *inbound, r *http.Request, h handlerFunc) reply {
 	requestCount.Add(1)
 	ctx, span := telemetry.StartServer(r, telemetry.SpanEntryRequest)
-	v.atEnd(func() { span.End() })
+	in.addCleanup(func() { span.End() })
 	dropInternal(r.Header)
-	r.Header.Set(wire.HeaderRequestID, v.id)
-	span.SetAttributes(telemetry.AttributeRequest.String(v.id))
+	r.Header.Set(wire.HeaderRequestID, in.id)
+	span.SetAttributes(telemetry.AttributeRequest.String(in.id))
 	if !e.gate.Enter() {
-		return v.fail(failure{status: http.StatusServiceUnavailable, code: codeDraining, message: "this entry is stopping", retryAfter: 1})
+		return in.fail(failure{status: http.StatusServiceUnavailable, code: codeDraining, message: "this entry is stopping", retryAfter: 1})
 	}
-	v.atEnd(e.gate.Leave)
-	if problem := e.unconfirmed(); problem != nil {
-		return v.fail(*problem)
+	in.addCleanup(e.gate.Leave)
+	if problem := e.checkFreshness(); problem != nil {
+		return in.fail(*problem)
 	}
 	ctx, cancel, problem := withTimeout(ctx, r.Header)
 	if problem != nil {
-		return v.fail(*problem)
+		return in.fail(*problem)
 	}
-	v.atEnd(cancel)
-	return h(v, r.WithContext(ctx))
+	in.addCleanup(cancel)
+	return h(in, r.WithContext(ctx))
 }
--- a/internal/entry/wait.go
+++ b/internal/entry/wait.go
@@ -9,33 +9,34 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// waitBudget is what is left of the contract's longest wait, over the entry and
-// all servers that the call is offered to. Counted anew at each server, a call
-// would wait for a multiple of what its contract says.
+// waitBudget is the remaining part of the contract's longest wait, across the entry
+// and all servers that the call is sent to. If each server measured the wait anew,
+// a call could wait for a multiple of what its contract allows.
 type waitBudget struct {
-	until time.Time
-	limit time.Duration
-	// refused is true when a server refused the call for its wait, and
-	// retryAfter the soonest that one of them expects to have room, in seconds.
+	deadline time.Time
+	limit    time.Duration
+	// refused is true if a server refused the call because of its wait. retryAfter
+	// is the shortest time after which one of these servers expects to have
+	// capacity, in seconds.
 	refused    bool
 	retryAfter int
 }
 
 func newWaitBudget(limits contract.Limits, arrived time.Time) *waitBudget {
-	return &waitBudget{until: arrived.Add(limits.MaxWait), limit: limits.MaxWait}
+	return &waitBudget{deadline: arrived.Add(limits.MaxWait), limit: limits.MaxWait}
 }
 
-// describe tells the next server what is left.
-func (b *waitBudget) describe(header http.Header) {
+// setHeader sets the header that tells the next server the remaining wait.
+func (b *waitBudget) setHeader(header http.Header) {
 	if b == nil {
 		return
 	}
-	left := max(time.Millisecond, time.Until(b.until))
-	header.Set(wire.HeaderMaxWait, strconv.FormatInt(left.Milliseconds(), 10))
+	remaining := max(time.Millisecond, time.Until(b.deadline))
+	header.Set(wire.HeaderMaxWait, strconv.FormatInt(remaining.Milliseconds(), 10))
 }
 
-// note takes a server's refusal into account.
-func (b *waitBudget) note(header http.Header) {
+// recordRefusal records a server's refusal if the refusal is due to the wait.
+func (b *waitBudget) recordRefusal(header http.Header) {
 	if b == nil || header.Get(wire.HeaderClause) != string(contract.ClauseMaxWait) {
 		return
 	}
@@ -49,20 +50,21 @@
 	b.refused = true
 }
 
-// over reports that the call has waited as long as it may. Its caller is told
-// so at once instead of after a try of another server.
-func (b *waitBudget) over() bool {
-	return b != nil && b.refused && !time.Now().Before(b.until)
+// exhausted reports whether the call has waited as long as it may. Its caller is
+// then told immediately instead of after an attempt at another server.
+func (b *waitBudget) exhausted() bool {
+	return b != nil && b.refused && !time.Now().Before(b.deadline)
 }
 
-// failure is the answer to a call that was refused for its wait.
+// failure returns the failure for a call that a server refused because of its wait,
+// and false if there was no refusal.
 func (b *waitBudget) failure() (failure, bool) {
 	if b == nil || !b.refused {
 		return failure{}, false
 	}
 	return failure{
 		status:     http.StatusTooManyRequests,
-		code:       codeLimit,
+		code:       codeLimitReached,
 		message:    "capacity is short: the wait would pass " + b.limit.String() + ", the contract's longest wait",
 		retryAfter: b.retryAfter,
 		clause:     string(contract.ClauseMaxWait),
