--- a/internal/entry/admission_test.go
+++ b/internal/entry/admission_test.go
@@ -32,49 +32,49 @@
 
 func (f *fakeAdmission) Settle(use Use) { f.settled = append(f.settled, use) }
 
-// streamed is a server's answer that comes in pieces and may break off.
-func streamed(v *inbound, end answer.End, pieces ...string) reply {
+// streamReply returns a server's answer that is streamed in pieces and may be cut.
+func streamReply(in *inbound, end answer.End, pieces ...string) reply {
 	return reply{answer.Stream(http.StatusOK, nil, func(pass answer.Pass) answer.End {
 		for _, piece := range pieces {
-			v.meter.add([]byte(piece))
+			in.meter.add([]byte(piece))
 			_ = pass([]byte(piece))
 		}
 		return end
 	}), outcome.Answered}
 }
 
-func TestPermitIsSettledOnceByTheAnswer(t *testing.T) {
-	whole := answer.Complete(nil)
+func TestPermitIsSettledOnceAfterAnswer(t *testing.T) {
+	complete := answer.Complete(nil)
 	cases := []struct {
 		name   string
 		answer func(*inbound) reply
 		want   Use
 	}{
-		{"whole answer with usage", func(v *inbound) reply {
-			return streamed(v, whole, `{"choices":[],"usage":{"prompt_tokens":2,"total_tokens":9}}`)
+		{"complete answer with usage", func(in *inbound) reply {
+			return streamReply(in, complete, `{"choices":[],"usage":{"prompt_tokens":2,"total_tokens":9}}`)
 		}, Use{Tokens: 9}},
-		{"stream without usage", func(v *inbound) reply {
-			return streamed(v, whole, "data: {}\n\n", "data: {}\n\n", "data: {}\n\n")
+		{"stream without usage", func(in *inbound) reply {
+			return streamReply(in, complete, "data: {}\n\n", "data: {}\n\n", "data: {}\n\n")
 		}, Use{Events: 3}},
-		{"stream that breaks off", func(v *inbound) reply { return streamed(v, answer.Cut, "data: {}\n\n") }, Use{Events: 1}},
-		{"usage at the end of a long stream", func(v *inbound) reply {
-			return streamed(v, whole, strings.Repeat("x", 3*tailSize), `data: {"usage":{"total_to`, "kens\":40}}\n\n")
+		{"stream that breaks off", func(in *inbound) reply { return streamReply(in, answer.Cut, "data: {}\n\n") }, Use{Events: 1}},
+		{"usage at the end of a long stream", func(in *inbound) reply {
+			return streamReply(in, complete, strings.Repeat("x", 3*tailSize), `data: {"usage":{"total_to`, "kens\":40}}\n\n")
 		}, Use{Tokens: 40, Events: 1}},
-		{"not run", func(v *inbound) reply {
-			return v.fail(failure{status: http.StatusServiceUnavailable, code: codeNoServer})
+		{"not run", func(in *inbound) reply {
+			return in.fail(failure{status: http.StatusServiceUnavailable, code: codeNoServer})
 		}, Use{NotRun: true}},
-		{"broken off before its header", func(*inbound) reply { panic(http.ErrAbortHandler) }, Use{}},
-		{"usage that is no object", func(v *inbound) reply { return streamed(v, whole, `"usage":-`) }, Use{}},
+		{"broken off before the header", func(*inbound) reply { panic(http.ErrAbortHandler) }, Use{}},
+		{"usage that is not an object", func(in *inbound) reply { return streamReply(in, complete, `"usage":-`) }, Use{}},
 	}
 	for _, c := range cases {
 		admission := &fakeAdmission{}
 		e := admittingEntry(admission)
-		handler := e.serve(func(v *inbound, r *http.Request) reply {
-			given := e.withPermit(v, r, Ask{}, func() reply { return c.answer(v) })
+		handler := e.serve(func(in *inbound, r *http.Request) reply {
+			result := e.withPermit(in, r, Ask{}, func() reply { return c.answer(in) })
 			if len(admission.settled) > 0 {
-				t.Errorf("%s: settled before the answer is out", c.name)
+				t.Errorf("%s: settled before the answer was written", c.name)
 			}
-			return given
+			return result
 		})
 		func() {
 			defer func() { _ = recover() }()
@@ -86,22 +86,22 @@
 	}
 }
 
-// fresh is a picture of the system that is up to date and empty.
-type fresh struct{ Source }
+// freshSource is a Source whose configuration is confirmed and empty.
+type freshSource struct{ Source }
 
-func (fresh) Freshness() freshness.State { return freshness.State{Kind: freshness.Fresh} }
+func (freshSource) Freshness() freshness.State { return freshness.State{Kind: freshness.Fresh} }
 
 func admittingEntry(admission Admission) *Entry {
-	return &Entry{options: Options{Admission: admission}, follower: fresh{}, gate: drain.NewGate()}
+	return &Entry{options: Options{Admission: admission}, follower: freshSource{}, gate: drain.NewGate()}
 }
 
-func TestRefusalNamesTheClauseAndWhenToComeBack(t *testing.T) {
+func TestRefusalHasClauseAndRetryAfter(t *testing.T) {
 	refusal := &Refusal{Clause: contract.ClauseTokensPerMinute, RetryAfter: 2100 * time.Millisecond, Message: "over"}
 	e := admittingEntry(&fakeAdmission{refusal: refusal})
 	recorder := httptest.NewRecorder()
-	e.serve(func(v *inbound, r *http.Request) reply {
-		return e.withPermit(v, r, Ask{}, func() reply {
-			t.Error("a refused request ran")
+	e.serve(func(in *inbound, r *http.Request) reply {
+		return e.withPermit(in, r, Ask{}, func() reply {
+			t.Error("refused request ran")
 			return reply{}
 		})
 	}).ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "/v1/completions", nil))
@@ -117,7 +117,8 @@
 	}
 }
 
-// A caller asks for as many tokens and answers as numbers can hold.
+// The caller asks for the maximum number of tokens and choices that the request's
+// integer fields can hold.
 func TestEstimateNeverOverflows(t *testing.T) {
 	cases := []struct {
 		body callerBody
--- a/internal/entry/backend_test.go
+++ b/internal/entry/backend_test.go
@@ -15,158 +15,162 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// deed is what a server, or the agent before it, does with one request.
-type deed uint8
+// action is what a server, or the agent in front of it, does with one request.
+type action uint8
 
 const (
-	// deedAnswer gives a whole answer, deedEmpty one that has no body.
-	deedAnswer deed = iota
-	deedEmpty
-	// deedBreak begins an answer and breaks off.
-	deedBreak
-	// deedFail answers with a failure of the server's own, deedFailBroken breaks
-	// off in the middle of that.
-	deedFail
-	deedFailBroken
-	// deedNotRun and deedDecline are an agent's words that nothing ran, deedUnknown
-	// its word that it cannot tell.
-	deedNotRun
-	deedDecline
-	deedUnknown
-	// deedOther answers by another model.
-	deedOther
-	// deedDrop ends the connection without a byte of an answer.
-	deedDrop
-	// deedGarble sends bytes that are no answer, deedOdd a status that is not final.
-	deedGarble
-	deedOdd
-	// deedExtra sends bytes behind a whole answer.
-	deedExtra
+	// actionAnswer sends a complete answer, actionEmpty one without a body.
+	actionAnswer action = iota
+	actionEmpty
+	// actionBreak starts an answer and breaks off.
+	actionBreak
+	// actionFail answers with an error of the server itself, actionFailBroken
+	// breaks off within that answer.
+	actionFail
+	actionFailBroken
+	// actionNotRun and actionDecline are an agent's reports that nothing ran,
+	// actionUnknown is its report that the outcome is unknown.
+	actionNotRun
+	actionDecline
+	actionUnknown
+	// actionOtherModel answers from a different model.
+	actionOtherModel
+	// actionDrop closes the connection before the first byte of an answer.
+	actionDrop
+	// actionGarble sends bytes that are not an HTTP response, actionNonFinal a
+	// status that is not final.
+	actionGarble
+	actionNonFinal
+	// actionExtra sends more bytes after a complete answer.
+	actionExtra
 )
 
-// framing is how the end of an answer is told.
+// framing is how the end of an answer is delimited.
 type framing uint8
 
 const (
 	framingChunked framing = iota
 	framingLength
-	// framingClose ends an answer with its connection.
+	// framingClose delimits an answer by the close of its connection.
 	framingClose
-	framings
+	numFramings
 )
 
-// rest is what an agent does when it is asked for the rest of an answer.
-type rest uint8
+// resumeAction is what an agent does when the entry requests the rest of an answer.
+type resumeAction uint8
 
 const (
-	// restGoOn gives it, restCut a part of it, restDrop nothing.
-	restGoOn rest = iota
-	restCut
-	restDrop
-	// restGone says that there is none, restOther is an answer of another process.
-	restGone
-	restOther
-	rests
+	// resumeAll sends the whole rest, resumePart a part of it, resumeDrop nothing.
+	resumeAll resumeAction = iota
+	resumePart
+	resumeDrop
+	// resumeGone reports that there is no rest, resumeOther sends an answer of
+	// another process.
+	resumeGone
+	resumeOther
+	numResumeActions
 )
 
-// act is a deed with its particulars.
-type act struct {
-	deed    deed
+// step is an action with its parameters.
+type step struct {
+	action  action
 	framing framing
 	status  int
-	// pieces is how much of an answer is sent before it breaks off, half is true
-	// when half a piece follows.
+	// pieces is the number of pieces of an answer that are sent before it breaks
+	// off; half is true if half of another piece follows.
 	pieces int
 	half   bool
-	// reset ends the connection by a reset.
+	// reset closes the connection with a TCP reset.
 	reset bool
-	// large makes the answer larger than a claim keeps, trailer gives it one.
+	// large makes the answer larger than a claim records, trailer adds a trailer.
 	large, trailer bool
-	// lineCut is true when an agent's connection breaks, and not its engine.
-	lineCut bool
+	// connCut is true if only the agent's connection breaks and its engine goes on.
+	connCut bool
 }
 
-// breaks reports whether an answer breaks off.
-func (a act) breaks() bool { return a.deed == deedBreak || a.deed == deedFailBroken }
+// breaks reports whether the answer breaks off.
+func (s step) breaks() bool { return s.action == actionBreak || s.action == actionFailBroken }
 
-func (a act) String() string {
-	return fmt.Sprintf("{deed %d, framing %d, status %d, pieces %d, half %v, reset %v, large %v, trailer %v, line %v}",
-		a.deed, a.framing, a.status, a.pieces, a.half, a.reset, a.large, a.trailer, a.lineCut)
+func (s step) String() string {
+	return fmt.Sprintf("{action %d, framing %d, status %d, pieces %d, half %v, reset %v, large %v, trailer %v, connCut %v}",
+		s.action, s.framing, s.status, s.pieces, s.half, s.reset, s.large, s.trailer, s.connCut)
 }
 
-// run is what a server did with one request, as it saw it itself.
+// run is what a server did with one request, as recorded by the server itself.
 type run struct {
-	act
+	step
 	name string
-	// request is its id.
+	// request is the request's ID.
 	request string
 	ran     bool
 	body    string
-	// whole is true when the server sent, or its agent holds, the whole answer.
-	whole bool
-	// sent is how much of the body there is when it is not whole, in bytes.
+	// complete is true if the server sent, or its agent holds, the complete answer.
+	complete bool
+	// sent is the size of the available part of the body if it is not complete, in
+	// bytes.
 	sent int
-	// asked counts the questions for its rest, met what came of the last.
-	asked int
-	met   rest
+	// resumes counts the requests for the rest of the answer, lastResume is the
+	// action on the last of them.
+	resumes    int
+	lastResume resumeAction
 }
 
-// serverKind is what stands at an address.
+// serverKind is the kind of process that listens at an address.
 type serverKind uint8
 
 const (
 	plainService serverKind = iota
 	bareEngine
-	agentBefore
+	engineWithAgent
 )
 
-// script is what the servers of a deployment do with the requests that reach
-// them, one after the other. Behind its end they answer.
+// script defines what the servers of a deployment do with the requests that reach
+// them, in order. After its last step they answer normally.
 type script struct {
-	kind   serverKind
-	stream bool
-	acts   []act
-	rests  []rest
+	kind          serverKind
+	stream        bool
+	steps         []step
+	resumeActions []resumeAction
 
-	mu    sync.Mutex
-	runs  []*run
-	asked int
+	mu      sync.Mutex
+	runs    []*run
+	resumed int
 }
 
-func (s *script) begin(r *http.Request) *run {
+func (s *script) nextRun(r *http.Request) *run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := act{status: http.StatusOK}
-	if n := len(s.runs); n < len(s.acts) {
-		a = s.acts[n]
+	next := step{status: http.StatusOK}
+	if n := len(s.runs); n < len(s.steps) {
+		next = s.steps[n]
 	}
-	began := &run{act: a, name: fmt.Sprint("run-", len(s.runs)), request: r.Header.Get(wire.HeaderRequestID)}
-	began.ran = a.deed != deedNotRun && a.deed != deedDecline
-	s.runs = append(s.runs, began)
-	return began
+	newRun := &run{step: next, name: fmt.Sprint("run-", len(s.runs)), request: r.Header.Get(wire.HeaderRequestID)}
+	newRun.ran = next.action != actionNotRun && next.action != actionDecline
+	s.runs = append(s.runs, newRun)
+	return newRun
 }
 
-// rest finds the run whose rest is asked for and what is done about it.
-func (s *script) rest(r *http.Request) (*run, rest) {
+// resume returns the run whose rest is requested and the action on that request.
+func (s *script) resume(r *http.Request) (*run, resumeAction) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := strings.TrimPrefix(r.URL.Path, wire.PathRuns)
-	does := restGoOn
-	if s.asked < len(s.rests) {
-		does = s.rests[s.asked]
+	next := resumeAll
+	if s.resumed < len(s.resumeActions) {
+		next = s.resumeActions[s.resumed]
 	}
-	s.asked++
+	s.resumed++
 	for i := len(s.runs) - 1; i >= 0; i-- {
 		if s.runs[i].request == id {
-			s.runs[i].asked++
-			s.runs[i].met = does
-			return s.runs[i], does
+			s.runs[i].resumes++
+			s.runs[i].lastResume = next
+			return s.runs[i], next
 		}
 	}
-	return nil, restGone
+	return nil, resumeGone
 }
 
-func (s *script) seen() []run {
+func (s *script) recordedRuns() []run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all []run
@@ -176,8 +180,8 @@
 	return all
 }
 
-// stand runs a server that plays the script, down to the framing of its answers.
-func (s *script) stand(t *testing.T) (address string) {
+// listen runs a server that plays the script, down to the framing of its answers.
+func (s *script) listen(t *testing.T) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -195,7 +199,8 @@
 			}
 			mu.Lock()
 			if open = append(open, conn); stopped {
-				// An entry's last word on a run comes behind its answer.
+				// An entry's request that cancels a run may arrive after the run's
+				// answer.
 				_ = conn.Close()
 			}
 			mu.Unlock()
@@ -236,95 +241,96 @@
 	}
 }
 
-// answer acts on one request, and reports whether the connection goes on and
-// whether it ends by a reset.
+// answer handles one request, and reports whether the connection is kept open and
+// whether it is closed with a reset.
 func (s *script) answer(conn io.Writer, request *http.Request) (keep, reset bool) {
 	switch {
 	case request.Method == http.MethodDelete:
 		_, _ = io.WriteString(conn, "HTTP/1.1 204 X\r\n\r\n")
 		return true, false
 	case strings.HasPrefix(request.URL.Path, wire.PathRuns):
-		return s.goOn(conn, request), false
+		return s.resumeAnswer(conn, request), false
 	}
-	r := s.begin(request)
+	r := s.nextRun(request)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.play(r, conn, request.Method == http.MethodHead), r.reset && r.breaks()
+	return s.perform(r, conn, request.Method == http.MethodHead), r.reset && r.breaks()
 }
 
-// play does what the script says, for the run's first connection.
-func (s *script) play(r *run, conn io.Writer, bodyless bool) (keep bool) {
-	switch r.deed {
-	case deedDrop:
+// perform performs the run's step on the connection of its first request.
+func (s *script) perform(r *run, conn io.Writer, bodyless bool) (keep bool) {
+	switch r.action {
+	case actionDrop:
 		return false
-	case deedGarble:
+	case actionGarble:
 		_, _ = io.WriteString(conn, "no answer at all\r\n\r\n")
 		return false
-	case deedOdd:
+	case actionNonFinal:
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 %03d X\r\nRun: %s\r\n\r\n", r.status, r.name)
 		return false
-	case deedNotRun, deedDecline, deedUnknown:
+	case actionNotRun, actionDecline, actionUnknown:
 		s.refuse(r, conn)
 		return true
 	}
 	pieces := s.content(r)
-	r.body, r.whole = strings.Join(pieces, ""), !r.breaks()
-	if r.deed == deedEmpty || bodyless {
-		r.body, r.whole = "", true
+	r.body, r.complete = strings.Join(pieces, ""), !r.breaks()
+	if r.action == actionEmpty || bodyless {
+		r.body, r.complete = "", true
 		_, _ = io.WriteString(conn, s.header(r, r.status, "Content-Length: 7"))
 		return true
 	}
 	r.sent = len(r.body)
-	if !r.whole {
-		r.sent = sentOf(pieces, r.pieces, r.half)
+	if !r.complete {
+		r.sent = partialSize(pieces, r.pieces, r.half)
 	}
 	s.send(r, conn, r.framing, pieces, 0, r.sent)
-	if r.whole {
+	if r.complete {
 		s.end(r, conn, r.framing)
 	}
-	if r.breaks() && r.lineCut && s.kind == agentBefore {
-		// The engine goes on: only the way to the entry was cut.
-		r.whole = true
+	if r.breaks() && r.connCut && s.kind == engineWithAgent {
+		// The engine goes on; only the agent's connection to the entry was cut.
+		r.complete = true
 	}
-	if r.deed == deedExtra {
+	if r.action == actionExtra {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra")
 		return false
 	}
 	return !r.breaks() && r.framing != framingClose
 }
 
-// sentOf is how many bytes some whole pieces have, and half of the next.
-func sentOf(pieces []string, whole int, half bool) int {
-	sent := 0
-	whole = min(whole, len(pieces)-1)
-	for _, piece := range pieces[:whole] {
-		sent += len(piece)
+// partialSize returns the size in bytes of the first complete pieces and, if half
+// is set, of half of the next.
+func partialSize(pieces []string, complete int, half bool) int {
+	size := 0
+	complete = min(complete, len(pieces)-1)
+	for _, piece := range pieces[:complete] {
+		size += len(piece)
 	}
 	if half {
-		sent += len(pieces[whole]) / 2
+		size += len(pieces[complete]) / 2
 	}
-	return sent
+	return size
 }
 
-// refuse says that nothing ran, or that nothing is known.
+// refuse reports that nothing ran, or that the outcome is unknown.
 func (s *script) refuse(r *run, conn io.Writer) {
-	said, declined := outcome.NotRun, ""
-	if r.deed == deedUnknown {
-		said = outcome.Unknown
+	reported, declined := outcome.NotRun, ""
+	if r.action == actionUnknown {
+		reported = outcome.Unknown
 	}
-	if r.deed == deedDecline {
+	if r.action == actionDecline {
 		declined = wire.HeaderDeclined + ": true\r\n"
 	}
-	_, _ = fmt.Fprintf(conn, "HTTP/1.1 503 X\r\n%s: %s\r\n%sContent-Length: 4\r\n\r\nbusy", outcome.Header, said, declined)
+	_, _ = fmt.Fprintf(conn, "HTTP/1.1 503 X\r\n%s: %s\r\n%sContent-Length: 4\r\n\r\nbusy", outcome.Header, reported, declined)
 }
 
-const drawnEvents = 6
+const streamEvents = 6
 
-// content is the whole body that the server means, in pieces. Each names its run.
+// content returns the complete body of a run in pieces. Each body names its run.
 func (s *script) content(r *run) []string {
-	failed := r.deed == deedFail || r.deed == deedFailBroken
+	failed := r.action == actionFail || r.action == actionFailBroken
 	ranAs := model
-	if r.deed == deedOther {
+	if r.action == actionOtherModel {
 		ranAs = baseModel
 	}
 	switch {
@@ -332,7 +338,7 @@
 		return []string{"failed ", "in ", r.name}
 	case s.stream:
 		var pieces []string
-		for n := range drawnEvents {
+		for n := range streamEvents {
 			pieces = append(pieces, fmt.Sprintf("data: {\"model\":%q,\"run\":%q,\"n\":%d}\n\n", ranAs, r.name, n))
 		}
 		return append(pieces, "data: [DONE]\n\n")
@@ -345,23 +351,23 @@
 	}
 }
 
-// header is the header of a run's answer.
+// header returns the header of a run's answer.
 func (s *script) header(r *run, status int, framed string) string {
 	lines := []string{"Run: " + r.name, framed}
 	switch {
 	case status >= 300:
 		lines = append(lines, "Content-Type: text/plain")
 	case s.stream:
-		lines = append(lines, eventStream)
+		lines = append(lines, eventStreamType)
 	default:
 		lines = append(lines, "Content-Type: application/json")
 	}
-	if s.kind == agentBefore {
+	if s.kind == engineWithAgent {
 		lines = append(lines, outcome.Header+": "+outcome.Answered.String())
 	}
-	if s.kind == agentBefore && status < 400 {
+	if s.kind == engineWithAgent && status < 400 {
 		ran := model
-		if r.deed == deedOther {
+		if r.action == actionOtherModel {
 			ran = baseModel
 		}
 		lines = append(lines, wire.HeaderRan+": "+ran)
@@ -369,13 +375,12 @@
 	return head(status, lines...)
 }
 
-// send sends the header and the bytes from one offset to another, in the pieces
-// that the server means.
-func (s *script) send(r *run, conn io.Writer, how framing, pieces []string, from, to int) {
+// send sends the header and the bytes between two offsets, in the given pieces.
+func (s *script) send(r *run, conn io.Writer, frame framing, pieces []string, from, to int) {
 	framed := "Connection: close"
-	switch how {
+	switch frame {
 	case framingChunked:
-		framed = inChunks
+		framed = chunkedEncoding
 	case framingLength:
 		framed = fmt.Sprint("Content-Length: ", len(r.body)-from)
 	}
@@ -387,7 +392,7 @@
 		if begin >= end {
 			continue
 		}
-		if how == framingChunked {
+		if frame == framingChunked {
 			_, _ = io.WriteString(conn, chunk(r.body[begin:end]))
 		} else {
 			_, _ = io.WriteString(conn, r.body[begin:end])
@@ -395,9 +400,9 @@
 	}
 }
 
-// end ends a whole body.
-func (s *script) end(r *run, conn io.Writer, how framing) {
-	if how != framingChunked {
+// end ends a complete body.
+func (s *script) end(r *run, conn io.Writer, frame framing) {
+	if frame != framingChunked {
 		return
 	}
 	trailer := ""
@@ -407,37 +412,37 @@
 	_, _ = io.WriteString(conn, "0\r\n"+trailer+"\r\n")
 }
 
-// goOn gives the rest of a run's answer as the script says.
-func (s *script) goOn(conn io.Writer, request *http.Request) (keep bool) {
-	r, does := s.rest(request)
+// resumeAnswer sends the rest of a run's answer as the script defines.
+func (s *script) resumeAnswer(conn io.Writer, request *http.Request) (keep bool) {
+	r, next := s.resume(request)
 	offset, _ := strconv.Atoi(request.URL.Query().Get(wire.QueryOffset))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r == nil || r.body == "" || !r.whole && offset >= r.sent {
-		does = restGone
+	if r == nil || r.body == "" || !r.complete && offset >= r.sent {
+		next = resumeGone
 	}
-	switch does {
-	case restDrop:
+	switch next {
+	case resumeDrop:
 		return false
-	case restGone:
+	case resumeGone:
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 404 X\r\n%s: unknown\r\nContent-Length: 4\r\n\r\ngone", outcome.Header)
 		return true
-	case restOther:
-		other := &run{name: "other", act: act{status: http.StatusInternalServerError}, body: "of another process"}
+	case resumeOther:
+		other := &run{name: "other", step: step{status: http.StatusInternalServerError}, body: "of another process"}
 		s.send(other, conn, framingChunked, []string{other.body}, 0, len(other.body))
 		s.end(other, conn, framingChunked)
 		return true
 	}
 	to := len(r.body)
-	if !r.whole {
+	if !r.complete {
 		to = r.sent
 	}
-	if does == restCut {
+	if next == resumePart {
 		to = offset + (to-offset)/2
 	}
-	// An agent frames what it gives again by chunks.
+	// An agent sends the rest of an answer in chunks.
 	s.send(r, conn, framingChunked, s.content(r), offset, to)
-	if to < len(r.body) || !r.whole {
+	if to < len(r.body) || !r.complete {
 		return false
 	}
 	s.end(r, conn, framingChunked)
--- a/internal/entry/large_test.go
+++ b/internal/entry/body_test.go
@@ -11,17 +11,17 @@
 	"github.com/rosemarypass/rosemarypass/internal/entry"
 )
 
-// A caller sends more than the entry accepts, and waits with the rest of its body
-// for the answer. It is refused at once: the answer must not wait until all
-// of the body has come, for which the caller has no time bound any more.
-func TestABodyThatIsTooLargeIsRefusedBeforeItsEnd(t *testing.T) {
+// A caller sends a larger body than the entry accepts, and waits for the answer
+// before it sends the rest. The request must be refused immediately: the answer
+// must not wait for the rest of the body, which has no read deadline any more.
+func TestTooLargeBodyIsRefusedBeforeItsEnd(t *testing.T) {
 	_, server := newEntry(t, entry.Options{MaxBodyBytes: 16}, newSource())
 	conn, err := net.Dial("tcp", server.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	// Far beyond what an answer takes; only a test that fails waits so long.
+	// Much longer than an answer takes; only a failing test waits that long.
 	_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 	_, _ = fmt.Fprintf(conn, "POST /v1/completions HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer %s\r\nContent-Length: 100\r\n\r\n%050d", callerKey, 0)
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -29,20 +29,20 @@
 		t.Fatal(err)
 	}
 	if response.StatusCode != http.StatusRequestEntityTooLarge || !response.Close {
-		t.Errorf("got %d, the connection ends behind it: %v", response.StatusCode, response.Close)
+		t.Errorf("status %d, Connection: close %v", response.StatusCode, response.Close)
 	}
 }
 
-// A caller stalls in the middle of its body. When its time is over it is told so;
-// the call must not stay in flight for as long as the caller likes.
-func TestABodyThatStallsIsRefusedInTime(t *testing.T) {
+// A caller stalls in the middle of its body. After the body timeout its request
+// must be refused and must not stay in flight for as long as the caller chooses.
+func TestStalledBodyIsRefusedAfterTimeout(t *testing.T) {
 	_, server := newEntry(t, entry.Options{BodyTimeout: 50 * time.Millisecond}, newSource())
 	conn, err := net.Dial("tcp", server.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	// Far beyond the time for a body; only a test that fails waits so long.
+	// Much longer than the body timeout; only a failing test waits that long.
 	_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 	_, _ = fmt.Fprintf(conn, "POST /v1/completions HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer %s\r\nContent-Length: 100\r\n\r\n%050d", callerKey, 0)
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -50,6 +50,6 @@
 		t.Fatal(err)
 	}
 	if response.StatusCode != http.StatusBadRequest || !response.Close {
-		t.Errorf("got %d, the connection ends behind it: %v", response.StatusCode, response.Close)
+		t.Errorf("status %d, Connection: close %v", response.StatusCode, response.Close)
 	}
 }
--- a/internal/entry/cut_test.go
+++ b/internal/entry/cut_test.go
@@ -14,7 +14,7 @@
 	"github.com/rosemarypass/rosemarypass/internal/loopback"
 )
 
-// cutPoint is the step at which a backend server's connection is cut.
+// cutPoint is the step at which the connection to a backend server is cut.
 type cutPoint int
 
 const (
@@ -27,36 +27,37 @@
 	cutMidAnswer
 )
 
-// cuttingServer is a plain service whose connections are cut at one step. It
-// runs a call once it has the whole body, as the worst case for its caller.
+// cuttingServer is a plain service whose connections are cut at one step. It runs a
+// call once it has received the complete body, which is the worst case for the
+// caller.
 type cuttingServer struct {
-	at  string
-	cut cutPoint
-	mu  sync.Mutex
-	ran int
+	addr string
+	cut  cutPoint
+	mu   sync.Mutex
+	ran  int
 }
 
-func startCutting(t *testing.T, cut cutPoint) *cuttingServer {
+func startCuttingServer(t *testing.T, cut cutPoint) *cuttingServer {
 	t.Helper()
 	if cut == cutDial {
-		held, err := loopback.NewRefuser()
+		refuser, err := loopback.NewRefuser()
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { _ = held.Close() })
-		return &cuttingServer{at: held.Address(), cut: cut}
+		t.Cleanup(func() { _ = refuser.Close() })
+		return &cuttingServer{addr: refuser.Address(), cut: cut}
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &cuttingServer{at: listener.Addr().String(), cut: cut}
+	s := &cuttingServer{addr: listener.Addr().String(), cut: cut}
 	t.Cleanup(func() { _ = listener.Close() })
 	go s.accept(listener)
 	return s
 }
 
-func (s *cuttingServer) address() string { return s.at }
+func (s *cuttingServer) address() string { return s.addr }
 
 func (s *cuttingServer) accept(listener net.Listener) {
 	for {
@@ -103,15 +104,16 @@
 	return s.ran
 }
 
-// The connection to a backend server is cut at some step of a call. A caller
-// that is told "not run" though the call ran books a second truck; one that is
-// given half an answer as if it were whole loses the rest without noticing.
-func TestWhatACallerIsToldAtEachCutHoldsAtTheServer(t *testing.T) {
+// The connection to a backend server is cut at one step of a call. A caller that is
+// told "not run" although the call ran books a second truck; a caller that receives
+// half of an answer as if it were complete loses the rest without noticing.
+func TestOutcomeIsCorrectAtEachCutPoint(t *testing.T) {
 	cases := []struct {
 		name string
 		cut  cutPoint
 		path string
-		// want is what the caller is told; the second server is whole.
+		// want is the outcome that the caller is told; the second server never
+		// breaks off.
 		want   outcome.Outcome
 		broken bool
 		second int
@@ -122,48 +124,49 @@
 		{"in the body", cutMidBody, "/once", outcome.Unknown, false, 0},
 		{"after the body", cutAfterBody, "/once", outcome.Unknown, false, 0},
 		{"in the answer", cutMidAnswer, "/once", outcome.Unknown, true, 0},
-		{"repeatable, dial", cutDial, "/again", outcome.Answered, false, 1},
-		{"repeatable, at the first byte", cutAtFirstByte, "/again", outcome.Answered, false, 1},
-		{"repeatable, in the body", cutMidBody, "/again", outcome.Answered, false, 1},
-		{"repeatable, after the body", cutAfterBody, "/again", outcome.Answered, false, 1},
-		{"repeatable, in the answer", cutMidAnswer, "/again", outcome.Unknown, true, 0},
+		{"idempotent, dial", cutDial, "/again", outcome.Answered, false, 1},
+		{"idempotent, at the first byte", cutAtFirstByte, "/again", outcome.Answered, false, 1},
+		{"idempotent, in the body", cutMidBody, "/again", outcome.Answered, false, 1},
+		{"idempotent, after the body", cutAfterBody, "/again", outcome.Answered, false, 1},
+		{"idempotent, in the answer", cutMidAnswer, "/again", outcome.Unknown, true, 0},
 	}
 	body := strings.Repeat("x", 1<<20)
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			first, second := startCutting(t, c.cut), startCutting(t, cutNever)
+			first, second := startCuttingServer(t, c.cut), startCuttingServer(t, cutNever)
 			_, server := newEntry(t, entry.Options{}, newSource(service("first", first.address(), 0), service("second", second.address(), 9)))
 			got := call(t, server, http.MethodPost, "/services/desk"+c.path, "", body)
 			if got.cut != c.broken || !c.broken && got.outcome != c.want {
-				t.Errorf("told %v, cut %v; want %v, cut %v", got.outcome, got.cut, c.want, c.broken)
+				t.Errorf("outcome %v, cut %v; want %v, cut %v", got.outcome, got.cut, c.want, c.broken)
 			}
 			if got.outcome == outcome.NotRun && first.count()+second.count() > 0 {
-				t.Error("told not run, but it ran")
+				t.Error("outcome is not-run, but the call ran")
 			}
 			if second.count() != c.second {
-				t.Errorf("the second server ran %d, want %d", second.count(), c.second)
+				t.Errorf("the second server ran %d calls, want %d", second.count(), c.second)
 			}
 			if c.path == "/once" && first.count()+second.count() > 1 {
-				t.Error("ran twice")
+				t.Error("the call ran twice")
 			}
 		})
 	}
 }
 
-// Every server refuses the connection. The caller may send its deposit again
-// without fear, so it must be told so, and when.
+// Every server refuses the connection. The caller must be told that it may safely
+// send its deposit again, and when.
 func TestNoServerReachedIsNotRun(t *testing.T) {
-	first := startCutting(t, cutDial)
+	first := startCuttingServer(t, cutDial)
 	_, server := newEntry(t, entry.Options{}, newSource(service("first", first.address(), 0)))
 	got := call(t, server, http.MethodPost, "/services/desk/once", "", "x")
 	if got.outcome != outcome.NotRun || got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
-		t.Errorf("told %v with %d, Retry-After %q", got.outcome, got.status, got.header.Get("Retry-After"))
+		t.Errorf("outcome %v, status %d, Retry-After %q", got.outcome, got.status, got.header.Get("Retry-After"))
 	}
 }
 
-// A booking desk echoes its caller's headers, and the caller sent the system's
-// own outcome header. Believing it would run the booking on a second server.
-func TestAPlainServiceCannotSayThatACallWasNotRun(t *testing.T) {
+// A booking desk echoes its caller's headers, and the caller sent the system's own
+// outcome header. If the entry trusted that header, it would run the booking on a
+// second server.
+func TestPlainServiceCannotReportNotRun(t *testing.T) {
 	ran := 0
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ran++
@@ -173,17 +176,16 @@
 	_, server := newEntry(t, entry.Options{}, newSource(service("a", desk, 0), service("b", desk, 0)))
 	got := call(t, server, http.MethodPost, "/services/desk/once", "", "x")
 	if ran != 1 || got.outcome != outcome.Answered {
-		t.Errorf("ran %d times, told %v", ran, got.outcome)
+		t.Errorf("ran %d times, outcome %v", ran, got.outcome)
 	}
 }
 
-// A caller waits for a limited time, and the server says nothing. Its answer
-// must not be held back beyond that, and must not invite a resend that could
-// book twice.
-func TestACallersTimeIsKept(t *testing.T) {
-	silent := make(chan struct{})
-	desk := startHandler(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-silent }))
-	t.Cleanup(func() { close(silent) })
+// A caller sets a timeout, and the server does not respond. The answer must not be
+// delayed beyond the timeout, and must not invite a resend that could book twice.
+func TestCallerTimeoutIsEnforced(t *testing.T) {
+	release := make(chan struct{})
+	desk := startHandler(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
+	t.Cleanup(func() { close(release) })
 	_, server := newEntry(t, entry.Options{}, newSource(service("a", desk, 0)))
 	for path, retryAfter := range map[string]string{"/once": "", "/again": "1"} {
 		request, _ := http.NewRequestWithContext(t.Context(), http.MethodPost, server.URL+"/services/desk"+path, strings.NewReader("x"))
@@ -194,16 +196,17 @@
 			t.Fatal(err)
 		}
 		_ = response.Body.Close()
-		said, _ := outcome.Parse(response.Header.Get(outcome.Header))
-		if response.StatusCode != http.StatusGatewayTimeout || said != outcome.Unknown || response.Header.Get("Retry-After") != retryAfter {
-			t.Errorf("%s: %d, %v, Retry-After %q", path, response.StatusCode, said, response.Header.Get("Retry-After"))
+		reported, _ := outcome.Parse(response.Header.Get(outcome.Header))
+		if response.StatusCode != http.StatusGatewayTimeout || reported != outcome.Unknown || response.Header.Get("Retry-After") != retryAfter {
+			t.Errorf("%s: status %d, outcome %v, Retry-After %q", path, response.StatusCode, reported, response.Header.Get("Retry-After"))
 		}
 	}
 }
 
-// A dock terminal releases a pallet by a call without a body, and the service
-// refuses bodies of unknown length. The release would be lost at the dock.
-func TestACallWithoutABodyArrivesAsOne(t *testing.T) {
+// A dock terminal releases a pallet with a call without a body, and the service
+// refuses bodies of unknown length. If the empty body were sent with an unknown
+// length, the release would be lost.
+func TestEmptyBodyIsSentWithLength(t *testing.T) {
 	var encoding []string
 	desk := startHandler(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		encoding = append(encoding, r.TransferEncoding...)
@@ -215,6 +218,6 @@
 		}
 	}
 	if len(encoding) != 0 {
-		t.Errorf("the empty body was sent as %v", encoding)
+		t.Errorf("the empty body was sent with Transfer-Encoding %v", encoding)
 	}
 }
--- a/internal/entry/decline_test.go
+++ b/internal/entry/decline_test.go
@@ -15,46 +15,47 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// slotGate is an agent that declines while it may, when it has no slot.
-type slotGate struct {
+// slotAgent is an agent that declines a request if it has no free slot and the
+// request may be declined.
+type slotAgent struct {
 	full           bool
 	declined, runs atomic.Int64
 }
 
-func (g *slotGate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if g.full && r.Header.Get(wire.HeaderMayDecline) != "" {
-		g.declined.Add(1)
+func (a *slotAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if a.full && r.Header.Get(wire.HeaderMayDecline) != "" {
+		a.declined.Add(1)
 		w.Header().Set(outcome.Header, outcome.NotRun.String())
 		w.Header().Set(wire.HeaderDeclined, "true")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	g.runs.Add(1)
+	a.runs.Add(1)
 	w.Header().Set(outcome.Header, outcome.Answered.String())
 	w.Header().Set(wire.HeaderRan, model)
 	_, _ = io.WriteString(w, "whole")
 }
 
-// Slots are scarce and reports lag: servers that look free have none to give. A
-// caller must be sent on to one that has, and when none has, must wait rather
-// than be refused.
-func TestDeclinedCallsGoOnAndAtLastWait(t *testing.T) {
+// Slots are scarce and load reports lag, so servers that look free have no slot. A
+// call must be sent on to a server that has one, and if none has, must wait instead
+// of being refused.
+func TestDeclinedCallsTryOtherServersThenWait(t *testing.T) {
 	cases := []struct {
 		name string
 		full []bool
 	}{
-		{"one has a slot", []bool{true, true, false}},
-		{"none has a slot", []bool{true, true, true}},
-		{"one server, full", []bool{true}},
+		{"one server has a slot", []bool{true, true, false}},
+		{"no server has a slot", []bool{true, true, true}},
+		{"single full server", []bool{true}},
 		{"more full servers than declines", []bool{true, true, true, true, true, true, true}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			gates := make([]*slotGate, len(c.full))
+			agents := make([]*slotAgent, len(c.full))
 			var servers []membership.Announcement
 			for i, full := range c.full {
-				gates[i] = &slotGate{full: full}
-				server := httptest.NewServer(gates[i])
+				agents[i] = &slotAgent{full: full}
+				server := httptest.NewServer(agents[i])
 				t.Cleanup(server.Close)
 				servers = append(servers, engineServer(fmt.Sprintf("s%d", i), strings.TrimPrefix(server.URL, "http://")))
 			}
@@ -62,16 +63,16 @@
 			for range 5 {
 				got := call(t, server, http.MethodPost, "/v1/completions", "", `{"model":"`+model+`","prompt":"x"}`)
 				if got.outcome != outcome.Answered || got.body != "whole" {
-					t.Fatalf("told %v: %s", got.outcome, got.body)
+					t.Fatalf("outcome %v: %s", got.outcome, got.body)
 				}
 			}
-			runs, most := int64(0), int64(0)
-			for _, g := range gates {
-				runs += g.runs.Load()
-				most = max(most, g.declined.Load())
+			runs, maxDeclined := int64(0), int64(0)
+			for _, a := range agents {
+				runs += a.runs.Load()
+				maxDeclined = max(maxDeclined, a.declined.Load())
 			}
-			if runs != 5 || most > 5 {
-				t.Errorf("%d runs of 5 calls; one server declined %d times", runs, most)
+			if runs != 5 || maxDeclined > 5 {
+				t.Errorf("%d runs of 5 calls; one server declined %d times", runs, maxDeclined)
 			}
 		})
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -52,7 +52,7 @@
 	WriteTimeout time.Duration
 	// FirstByteTimeout bounds the wait for the first byte of an answer.
 	FirstByteTimeout time.Duration
-	// StallTimeout bounds the time between two reads within an answer.
+	// StallTimeout bounds how long an answer may pause between two pieces of data.
 	StallTimeout time.Duration
 	// ClaimTimeout bounds the wait for the decision whether a call that must run at
 	// most once may run.
--- a/internal/entry/events_test.go
+++ b/internal/entry/events_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// Events arrive cut at any byte, with any of the three ends of a line. Nothing may
-// be lost or moved, and what is passed on must end with an event.
-func TestEventsArePassedOnWhole(t *testing.T) {
+// Events arrive split at any byte, with any of the three line endings. No byte may
+// be lost or reordered, and the bytes passed on must end with a complete event.
+func TestOnlyCompleteEventsArePassedOn(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for _, line := range []string{"\n", "\r\n", "\r"} {
 		event := "id: 1" + line + "data: word" + line + line
@@ -24,34 +24,34 @@
 				}
 			}
 			if passed+string(b.pending) != stream || len(b.pending) != 0 {
-				t.Fatalf("%q: passed on %q, held %q", line, passed, b.pending)
+				t.Fatalf("%q: passed on %q, pending %q", line, passed, b.pending)
 			}
 		}
 	}
 }
 
-// An event that is longer than what is held back is passed on in parts.
-func TestALongEventIsNotHeldForEver(t *testing.T) {
+// An event that exceeds the buffer limit is passed on in parts.
+func TestLongEventIsPassedOnInParts(t *testing.T) {
 	var b eventBuffer
 	stream := "data: " + strings.Repeat("x", 3*maxPendingEvent) + "\n\ndata: y"
 	passed := ""
 	for at := 0; at < len(stream); at += 1000 {
 		passed += string(b.add([]byte(stream[at:min(len(stream), at+1000)])))
 		if len(b.pending) > maxPendingEvent {
-			t.Fatalf("%d bytes are held", len(b.pending))
+			t.Fatalf("%d bytes are pending", len(b.pending))
 		}
 		if at == 2*maxPendingEvent && !b.partial {
-			t.Error("a half event that was passed on is not known as such")
+			t.Error("partial is not set after a part of an event was passed on")
 		}
 	}
 	if passed+string(b.pending) != stream || string(b.pending) != "data: y" || b.partial {
-		t.Errorf("held %q, within %v", b.pending, b.partial)
+		t.Errorf("pending %q, partial %v", b.pending, b.partial)
 	}
 }
 
-// The end of a long event arrives in two parts, around the point up to which it was
-// passed on.
-func TestTheEndOfALongEventIsFound(t *testing.T) {
+// The terminator of a long event arrives in two parts, around the point up to which
+// the event was passed on.
+func TestTerminatorOfLongEventIsFound(t *testing.T) {
 	for _, end := range []string{"\n\n", "\r\n\r\n", "\r\r"} {
 		for at := range len(end) + 1 {
 			var b eventBuffer
@@ -59,7 +59,7 @@
 			passed := string(b.add([]byte(long + end[:at])))
 			passed += string(b.add([]byte(end[at:])))
 			if b.partial || passed != long+end {
-				t.Errorf("%q at %d: held %q, within %v", end, at, b.pending, b.partial)
+				t.Errorf("%q at %d: pending %q, partial %v", end, at, b.pending, b.partial)
 			}
 		}
 	}
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -27,19 +27,19 @@
 	model     = "quote-draft@1"
 )
 
-// source is a fixed picture of the system.
-type source struct {
+// fixedSource is an entry.Source with fixed contents.
+type fixedSource struct {
 	config  *follow.Config
 	servers []membership.Announcement
-	// kind is what the entry can prove of its configuration.
+	// kind is how far the entry can confirm its configuration.
 	kind freshness.Kind
 }
 
-func (s *source) Config() *follow.Config             { return s.config }
-func (s *source) Servers() []membership.Announcement { return s.servers }
-func (s *source) Freshness() freshness.State         { return freshness.State{Kind: s.kind} }
+func (s *fixedSource) Config() *follow.Config             { return s.config }
+func (s *fixedSource) Servers() []membership.Announcement { return s.servers }
+func (s *fixedSource) Freshness() freshness.State         { return freshness.State{Kind: s.kind} }
 
-func newSource(servers ...membership.Announcement) *source {
+func newSource(servers ...membership.Announcement) *fixedSource {
 	customer := contract.Contract{
 		ID: "customer", Revision: 1, KeyHashes: []string{follow.HashKey(callerKey)}, Adapters: []string{"*"}, Services: []string{"*"}, Share: 1,
 		Limits: contract.Limits{RequestsPerSecond: 1000, TokensPerMinute: 1 << 30, Concurrency: 1000, MaxWait: time.Minute},
@@ -54,7 +54,7 @@
 	adapter := catalogue.Adapter{Ref: ref, BaseModel: baseModel, Source: "store://x"}
 	config := follow.NewConfig()
 	config.Apply([]state.Change{{Index: 1, Contract: &customer}, {Index: 1, Service: &desk}, {Index: 1, Adapter: &adapter}}, 1)
-	return &source{config: config, servers: servers, kind: freshness.Fresh}
+	return &fixedSource{config: config, servers: servers, kind: freshness.Fresh}
 }
 
 func service(name, address string, running int) membership.Announcement {
@@ -75,18 +75,18 @@
 
 type entryServer = httptest.Server
 
-// told is what a caller learned of its request.
-type told struct {
+// callResult is what a caller received for its request.
+type callResult struct {
 	status  int
 	outcome outcome.Outcome
 	header  http.Header
 	trailer http.Header
 	body    string
-	// cut is true when the answer ended without its end.
+	// cut is true if the answer was truncated.
 	cut bool
 }
 
-func call(t *testing.T, server *httptest.Server, method, path, key, body string) told {
+func call(t *testing.T, server *httptest.Server, method, path, key, body string) callResult {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, server.URL+path, strings.NewReader(body))
 	if err != nil {
@@ -98,10 +98,10 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return told{cut: true}
+		return callResult{cut: true}
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(response.Body)
-	said, _ := outcome.Parse(response.Header.Get(outcome.Header))
-	return told{status: response.StatusCode, outcome: said, header: response.Header, body: string(data), cut: err != nil}
+	reported, _ := outcome.Parse(response.Header.Get(outcome.Header))
+	return callResult{status: response.StatusCode, outcome: reported, header: response.Header, body: string(data), cut: err != nil}
 }
--- a/internal/entry/freshness_test.go
+++ b/internal/entry/freshness_test.go
@@ -10,10 +10,11 @@
 	"github.com/rosemarypass/rosemarypass/internal/entry"
 )
 
-// An entry is cut off from control for longer than its lease. The contract may
-// have been retired meanwhile, so that it must send callers to other entries,
-// and the balancer with them, and say that nothing was run.
-func TestEntryThatCannotConfirmItsContractsRefuses(t *testing.T) {
+// An entry is disconnected from the control instances for longer than its lease. A
+// contract may have been retired meanwhile, so the entry must refuse requests,
+// report that nothing was run, and report not ready, so that the load balancer uses
+// other entries.
+func TestUnconfirmedEntryRefusesRequests(t *testing.T) {
 	from := newSource()
 	e, server := newEntry(t, entry.Options{MaxBodyBytes: 1 << 20}, from)
 	for _, kind := range []freshness.Kind{freshness.CutOff, ""} {
@@ -26,7 +27,7 @@
 			t.Errorf("%q: %s", kind, got.body)
 		}
 		if e.Ready() {
-			t.Errorf("%q: the entry says that it is ready", kind)
+			t.Errorf("%q: the entry reports ready", kind)
 		}
 	}
 	for _, kind := range []freshness.Kind{freshness.Fresh, freshness.Unchangeable} {
--- a/internal/entry/once_test.go
+++ b/internal/entry/once_test.go
@@ -25,23 +25,24 @@
 	"github.com/rosemarypass/rosemarypass/internal/relay"
 )
 
-// faults is a seeded source of mishaps, safe for concurrent use.
+// faults is a seeded source of random faults and delays, safe for concurrent use.
 type faults struct {
 	mu     sync.Mutex
 	random *rand.Rand
 }
 
-func (f *faults) chance(percent int) bool { return f.below(100) < percent }
+func (f *faults) chance(percent int) bool { return f.intN(100) < percent }
 
-func (f *faults) below(n int) int {
+func (f *faults) intN(n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.random.IntN(n)
 }
 
-func (f *faults) delay(most time.Duration) { time.Sleep(time.Duration(f.below(int(most)))) }
+func (f *faults) delay(limit time.Duration) { time.Sleep(time.Duration(f.intN(int(limit)))) }
 
-// claimLog stands for the replicated log: one order for all entries.
+// claimLog replaces the replicated log: it applies the commands of all entries in
+// one order.
 type claimLog struct {
 	mu    sync.Mutex
 	table *claim.Table
@@ -57,8 +58,9 @@
 
 var errDown = errors.New("down")
 
-// worker is one entry that can crash: from then on it reaches nothing.
-type worker struct {
+// crashingEntry is an entry that can crash. While it is down, it cannot reach
+// anything.
+type crashingEntry struct {
 	faults *faults
 	log    *claimLog
 	desk   *desk
@@ -67,36 +69,36 @@
 	down   bool
 }
 
-func (w *worker) isDown() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.down
+func (c *crashingEntry) isDown() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.down
 }
 
-func (w *worker) setDown(down bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.down = down
+func (c *crashingEntry) setDown(down bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.down = down
 }
 
-// Apply loses commands and replies, resends, and delivers some commands long
-// after their sender gave up.
-func (w *worker) Apply(ctx context.Context, command claim.Command) (claim.Reply, error) {
-	for ctx.Err() == nil && !w.isDown() {
-		w.faults.delay(200 * time.Millisecond)
-		if w.faults.chance(15) {
+// Apply loses commands and replies, resends commands, and delivers some of them
+// long after their sender gave up.
+func (c *crashingEntry) Apply(ctx context.Context, command claim.Command) (claim.Reply, error) {
+	for ctx.Err() == nil && !c.isDown() {
+		c.faults.delay(200 * time.Millisecond)
+		if c.faults.chance(15) {
 			go func() {
-				w.faults.delay(8 * time.Second)
-				_, _ = w.log.Apply(ctx, command)
+				c.faults.delay(8 * time.Second)
+				_, _ = c.log.Apply(ctx, command)
 			}()
 		}
-		if w.isDown() || w.faults.chance(25) {
-			w.faults.delay(time.Second)
+		if c.isDown() || c.faults.chance(25) {
+			c.faults.delay(time.Second)
 			continue
 		}
-		reply, _ := w.log.Apply(ctx, command)
-		w.faults.delay(200 * time.Millisecond)
-		if !w.isDown() && !w.faults.chance(25) {
+		reply, _ := c.log.Apply(ctx, command)
+		c.faults.delay(200 * time.Millisecond)
+		if !c.isDown() && !c.faults.chance(25) {
 			return reply, nil
 		}
 	}
@@ -138,66 +140,68 @@
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(number), number)
 }
 
-func (w *worker) dial(context.Context, string, string) (net.Conn, error) {
-	if w.isDown() || w.faults.chance(20) {
+func (c *crashingEntry) dial(context.Context, string, string) (net.Conn, error) {
+	if c.isDown() || c.faults.chance(20) {
 		return nil, errDown
 	}
-	near, far := net.Pipe()
-	go w.desk.serve(far)
-	return near, nil
+	client, server := net.Pipe()
+	go c.desk.serve(server)
+	return client, nil
 }
 
-func newWorker(f *faults, log *claimLog, d *desk) *worker {
-	w := &worker{faults: f, log: log, desk: d}
-	client := &http.Client{Transport: relay.NewTransportOver(w.dial)}
-	options := entry.Options{Claims: w, FirstByteTimeout: 2 * time.Second, ClaimTimeout: 2 * time.Second}
-	w.entry = entry.New(options, newSource(service("a", "a.test", 0), service("b", "b.test", 0)), client, zap.NewNop())
-	return w
+func newCrashingEntry(f *faults, log *claimLog, d *desk) *crashingEntry {
+	c := &crashingEntry{faults: f, log: log, desk: d}
+	client := &http.Client{Transport: relay.NewTransportOver(c.dial)}
+	options := entry.Options{Claims: c, FirstByteTimeout: 2 * time.Second, ClaimTimeout: 2 * time.Second}
+	c.entry = entry.New(options, newSource(service("a", "a.test", 0), service("b", "b.test", 0)), client, zap.NewNop())
+	return c
 }
 
-// bookResult is what a caller learned; a lost answer is unknown.
+// bookResult is what a caller was told; if the answer was lost, the outcome is
+// unknown.
 type bookResult struct {
-	said    outcome.Outcome
+	outcome outcome.Outcome
 	receipt string
 }
 
-func (w *worker) book(key string) bookResult {
-	if w.isDown() {
+func (c *crashingEntry) book(key string) bookResult {
+	if c.isDown() {
 		return bookResult{}
 	}
 	request := httptest.NewRequest(http.MethodPost, "/services/desk/once", strings.NewReader(key))
 	request.Header.Set("Authorization", "Bearer "+callerKey)
 	request.Header.Set("Idempotency-Key", key)
 	recorder := httptest.NewRecorder()
-	w.entry.Handler().ServeHTTP(recorder, request)
-	if w.isDown() || w.faults.chance(20) {
+	c.entry.Handler().ServeHTTP(recorder, request)
+	if c.isDown() || c.faults.chance(20) {
 		return bookResult{}
 	}
-	said, _ := outcome.Parse(recorder.Header().Get(outcome.Header))
-	return bookResult{said: said, receipt: recorder.Body.String()}
+	reported, _ := outcome.Parse(recorder.Header().Get(outcome.Header))
+	return bookResult{outcome: reported, receipt: recorder.Body.String()}
 }
 
-// The states of one key in the model: the receipt of its run, or one of these.
+// The states of one key in the model are the receipt of its run or one of the
+// following.
 const (
-	notRunYet   = ""
-	ranUnheard  = "?"
-	callsPerKey = 5
+	stateNotRun     = ""
+	stateRanUnknown = "?"
+	callsPerKey     = 5
 )
 
-// bookingModel says what callers may be told when a key's call runs at most
-// once: one receipt only, and never "not run" after it ran.
+// bookingModel defines what callers may be told if the call of a key runs at most
+// once: a single receipt, and never "not run" after it ran.
 var bookingModel = (&porcupine.NondeterministicModel{
-	Init: func() []any { return []any{notRunYet} },
+	Init: func() []any { return []any{stateNotRun} },
 	Step: func(state, _, output any) []any {
 		result := output.(bookResult)
 		switch {
-		case result.said == outcome.Answered && (state == notRunYet || state == ranUnheard || state == result.receipt):
+		case result.outcome == outcome.Answered && (state == stateNotRun || state == stateRanUnknown || state == result.receipt):
 			return []any{result.receipt}
-		case result.said == outcome.NotRun && state == notRunYet:
-			return []any{notRunYet}
-		case result.said == outcome.Unknown && state == notRunYet:
-			return []any{notRunYet, ranUnheard}
-		case result.said == outcome.Unknown:
+		case result.outcome == outcome.NotRun && state == stateNotRun:
+			return []any{stateNotRun}
+		case result.outcome == outcome.Unknown && state == stateNotRun:
+			return []any{stateNotRun, stateRanUnknown}
+		case result.outcome == outcome.Unknown:
 			return []any{state}
 		default:
 			return nil
@@ -205,28 +209,28 @@
 	},
 }).ToModel()
 
-// history is what one schedule brought.
+// history is the result of one schedule.
 type history struct {
-	doubled, ran, answered int
-	byKey                  map[string][]porcupine.Operation
+	duplicateRuns, ran, answered int
+	byKey                        map[string][]porcupine.Operation
 }
 
-// runSchedule lets callers book through three crashing entries. With shared
-// false each entry keeps its claims to itself, which is the naive version.
+// runSchedule has callers book through three crashing entries. If shared is false,
+// each entry has a claim log of its own, which is the naive version.
 func runSchedule(t *testing.T, seed uint64, shared bool) history {
 	h := history{byKey: make(map[string][]porcupine.Operation)}
 	synctest.Test(t, func(*testing.T) {
 		f := &faults{random: rand.New(rand.NewPCG(seed, 7))}
 		d := &desk{faults: f, runs: make(map[string]int)}
 		log := newClaimLog()
-		var workers []*worker
+		var entries []*crashingEntry
 		for range 3 {
 			if !shared {
 				log = newClaimLog()
 			}
-			workers = append(workers, newWorker(f, log, d))
+			entries = append(entries, newCrashingEntry(f, log, d))
 		}
-		go crashNow(f, workers)
+		go crashRandomly(f, entries)
 		var mu sync.Mutex
 		var callers sync.WaitGroup
 		for client := range 6 {
@@ -234,7 +238,7 @@
 			callers.Go(func() {
 				for range callsPerKey {
 					began := time.Now().UnixNano()
-					result := workers[f.below(3)].book(key)
+					result := entries[f.intN(3)].book(key)
 					mu.Lock()
 					h.byKey[key] = append(h.byKey[key], porcupine.Operation{ClientId: client, Call: began, Output: result, Return: time.Now().UnixNano()})
 					mu.Unlock()
@@ -245,12 +249,12 @@
 		callers.Wait()
 		time.Sleep(2 * time.Minute)
 		for _, runs := range d.runs {
-			h.doubled += runs - 1
+			h.duplicateRuns += runs - 1
 			h.ran++
 		}
 		for _, operations := range h.byKey {
 			for _, operation := range operations {
-				if operation.Output.(bookResult).said == outcome.Answered {
+				if operation.Output.(bookResult).outcome == outcome.Answered {
 					h.answered++
 				}
 			}
@@ -259,47 +263,47 @@
 	return h
 }
 
-func crashNow(f *faults, workers []*worker) {
+func crashRandomly(f *faults, entries []*crashingEntry) {
 	for range 6 {
 		f.delay(5 * time.Second)
-		w := workers[f.below(3)]
-		w.setDown(true)
+		e := entries[f.intN(3)]
+		e.setDown(true)
 		f.delay(3 * time.Second)
-		w.setDown(false)
+		e.setDown(false)
 	}
 }
 
-const schedules = 60
+const numSchedules = 60
 
-// Two clicks on one deposit, lost answers, crashing entries, commands to the
-// log that arrive seconds late, and resends through other entries, in any mix.
-// A deposit that is taken twice brings a grandmother to the desk.
-func TestACallWithAKeyRunsAtMostOnceThroughAnyEntry(t *testing.T) {
-	var naive, ours history
-	for seed := range uint64(schedules) {
+// Two clicks on one deposit, lost answers, crashing entries, commands that reach
+// the log seconds late, and resends through other entries occur in any combination.
+// A deposit must not be taken twice.
+func TestCallWithKeyRunsAtMostOnceThroughAnyEntry(t *testing.T) {
+	var naive, shared history
+	for seed := range uint64(numSchedules) {
 		h := runSchedule(t, seed, true)
-		if h.doubled > 0 {
-			t.Errorf("seed %d: %d second runs", seed, h.doubled)
+		if h.duplicateRuns > 0 {
+			t.Errorf("seed %d: %d duplicate runs", seed, h.duplicateRuns)
 		}
 		for key, operations := range h.byKey {
 			if !porcupine.CheckOperations(bookingModel, operations) {
-				t.Errorf("seed %d, %s: no order of at most one run explains what callers were told: %v", seed, key, operations)
+				t.Errorf("seed %d, %s: the results are not linearizable with at most one run: %v", seed, key, operations)
 			}
 		}
-		ours.ran += h.ran
-		ours.answered += h.answered
+		shared.ran += h.ran
+		shared.answered += h.answered
 		n := runSchedule(t, seed, false)
-		naive.doubled += n.doubled
+		naive.duplicateRuns += n.duplicateRuns
 	}
-	if naive.doubled == 0 || ours.answered == 0 {
-		t.Error("the schedules do not show the fault")
+	if naive.duplicateRuns == 0 || shared.answered == 0 {
+		t.Error("the schedules do not provoke duplicate runs with one claim log per entry, or no call was answered")
 	}
-	t.Logf("%d schedules: ours 0 second runs, %d calls run, %d answers; claims per entry: %d second runs", schedules, ours.ran, ours.answered, naive.doubled)
+	t.Logf("%d schedules: shared log: %d calls run, %d answers; one log per entry: %d duplicate runs", numSchedules, shared.ran, shared.answered, naive.duplicateRuns)
 }
 
-// A caller resends a finished booking, sends another under its key, and asks
-// later what became of it.
-func TestAFinishedCallIsReplayedAndItsKeyIsBound(t *testing.T) {
+// A caller resends a finished booking, sends a different call with the same key,
+// and later asks for the state of its call.
+func TestFinishedCallIsReplayedAndItsKeyIsBound(t *testing.T) {
 	ran := 0
 	address := startHandler(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		ran++
@@ -317,16 +321,16 @@
 	}
 	other := call(t, second, http.MethodPost, "/services/desk/once", "k", "y")
 	if other.status != http.StatusUnprocessableEntity || other.outcome != outcome.NotRun {
-		t.Errorf("another call under the key: %d, %v", other.status, other.outcome)
+		t.Errorf("different call with the same key: status %d, outcome %v", other.status, other.outcome)
 	}
-	asked := call(t, second, http.MethodGet, "/claims/k", "", "")
-	if asked.status != http.StatusOK || !strings.Contains(asked.body, `"state":"finished"`) {
-		t.Errorf("asked: %d %s", asked.status, asked.body)
+	state := call(t, second, http.MethodGet, "/claims/k", "", "")
+	if state.status != http.StatusOK || !strings.Contains(state.body, `"state":"finished"`) {
+		t.Errorf("claim: status %d, body %s", state.status, state.body)
 	}
 	if missing := call(t, second, http.MethodGet, "/claims/none", "", ""); missing.status != http.StatusNotFound {
-		t.Errorf("a key that was never used: %d", missing.status)
+		t.Errorf("unused key: status %d", missing.status)
 	}
 	if ran != 1 {
-		t.Errorf("ran %d times", ran)
+		t.Errorf("the call ran %d times", ran)
 	}
 }
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -26,7 +26,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// startAgent runs an agent before an engine and returns it with its address.
+// startAgent runs an agent in front of an engine and returns it with its address.
 func startAgent(t *testing.T, engineHandler http.Handler) (*agent.Agent, string) {
 	return startReportingAgent(t, "floor-1", engineHandler, nil)
 }
@@ -45,10 +45,10 @@
 	return fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":%d,"stream":%v}`, model, prompt, tokens, stream)
 }
 
-// Many answers share the connections between entry and agent and end in
-// another order than they began. A mix-up would hand one customer's draft to
-// another.
-func TestEachCallerGetsItsOwnAnswerWhenAnswersCross(t *testing.T) {
+// Concurrent answers share the connections between entry and agent and end in a
+// different order than they started. If they were mixed up, one customer would
+// receive another customer's draft.
+func TestConcurrentCallersGetTheirOwnAnswers(t *testing.T) {
 	e := engine.New(engine.Options{BaseModel: baseModel, Slots: 2, Capacity: 64, TokenTime: time.Millisecond})
 	_, address := startAgent(t, e.Handler())
 	_, server := newEntry(t, entry.Options{}, newSource(engineServer("floor-1", address)))
@@ -64,17 +64,17 @@
 				}
 			}
 			if strings.Count(got.body, model+"/") != tokens || got.outcome != outcome.Answered {
-				t.Errorf("caller %d: %v, %q", i, got.outcome, got.body)
+				t.Errorf("caller %d: outcome %v, body %q", i, got.outcome, got.body)
 			}
 		})
 	}
 	callers.Wait()
 }
 
-// The engine restarts empty after its adapter was loaded and just before the
-// request arrives. An engine that falls back to its base model would answer a
-// quote request in the wrong words, and nobody would see it.
-func TestAnEngineThatLostItsAdapterNeverAnswersByItsBaseModel(t *testing.T) {
+// The engine restarts without adapters after its adapter was loaded and just before
+// the request arrives. An engine that falls back to its base model would answer a
+// quote request in the wrong style without anyone noticing.
+func TestEngineWithLostAdapterNeverAnswersWithBaseModel(t *testing.T) {
 	fallsBack := func(e *engine.Engine) http.Handler {
 		inner := e.Handler()
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -107,7 +107,7 @@
 			_, server := newEntry(t, entry.Options{}, newSource(engineServer("floor-1", address)))
 			got := call(t, server, http.MethodPost, "/v1/completions", "", completion("x", 2, false))
 			if got.outcome != c.want || got.status < http.StatusInternalServerError || strings.Contains(got.body, "secret") {
-				t.Errorf("told %v with %d: %s", got.outcome, got.status, got.body)
+				t.Errorf("outcome %v, status %d: %s", got.outcome, got.status, got.body)
 			}
 			if len(e.Ran()) != 0 {
 				t.Errorf("ran %v", e.Ran())
@@ -116,9 +116,9 @@
 	}
 }
 
-// An engine without an agent answers by its base model. No gate checks its
-// word, so the entry must.
-func TestAnEngineWithoutAnAgentIsCheckedToo(t *testing.T) {
+// An engine without an agent answers with its base model. No agent verifies the
+// model, so the entry must.
+func TestModelOfEngineWithoutAgentIsVerified(t *testing.T) {
 	for ran, want := range map[string]outcome.Outcome{baseModel: outcome.Unknown, model: outcome.Answered} {
 		address := startHandler(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			fmt.Fprintf(w, `{"id":"x","model":%q,"choices":[{"text":"words"}]}`, ran)
@@ -128,14 +128,14 @@
 		_, server := newEntry(t, entry.Options{}, newSource(bare))
 		got := call(t, server, http.MethodPost, "/v1/completions", "", completion("x", 2, false))
 		if got.outcome != want || strings.Contains(got.body, "words") != (want == outcome.Answered) {
-			t.Errorf("%s: told %v: %s", ran, got.outcome, got.body)
+			t.Errorf("%s: outcome %v: %s", ran, got.outcome, got.body)
 		}
 	}
 }
 
-// The caller hangs up in the middle of a stream. An engine that generates on
-// spends its batch on an answer that nobody reads.
-func TestACallerWhoLeavesCancelsTheEnginesWork(t *testing.T) {
+// The caller disconnects in the middle of a stream. An engine that continues to
+// generate wastes batch capacity on an answer that nobody reads.
+func TestCallerDisconnectCancelsEngineWork(t *testing.T) {
 	e := engine.New(engine.Options{BaseModel: baseModel, Slots: 2, TokenTime: 2 * time.Millisecond})
 	_, address := startAgent(t, e.Handler())
 	_, server := newEntry(t, entry.Options{}, newSource(engineServer("floor-1", address)))
@@ -149,24 +149,24 @@
 		t.Fatal(err)
 	}
 	_ = response.Body.Close()
-	eventually(t, "the engine's work is cancelled", func() bool { return e.Cancelled() == 1 })
+	eventually(t, "the engine's request is cancelled", func() bool { return e.Cancelled() == 1 })
 }
 
-// A stream ends at the engine before its last token. A clean end of the
-// caller's connection would pass a part off as the whole.
-func TestAStreamCutAtTheEngineIsVisibleToTheCaller(t *testing.T) {
+// A stream ends at the engine before its last token. If the caller's connection
+// were closed orderly, the partial answer would look complete.
+func TestCallerDetectsStreamCutAtEngine(t *testing.T) {
 	e := engine.New(engine.Options{BaseModel: baseModel, Slots: 2, TokenTime: 2 * time.Millisecond})
 	_, address := startAgent(t, e.Handler())
 	_, server := newEntry(t, entry.Options{}, newSource(engineServer("floor-1", address)))
-	done := make(chan told, 1)
+	done := make(chan callResult, 1)
 	go func() {
 		done <- call(t, server, http.MethodPost, "/v1/completions", "", completion("x", 1<<20, true))
 	}()
-	eventually(t, "the stream runs", func() bool { return len(e.Ran()) == 1 })
+	eventually(t, "the stream starts", func() bool { return len(e.Ran()) == 1 })
 	time.Sleep(20 * time.Millisecond)
 	e.Restart()
 	if got := <-done; !got.cut && got.outcome == outcome.Answered {
-		t.Errorf("the caller saw a clean end: %d", got.status)
+		t.Errorf("the answer looks complete: status %d", got.status)
 	}
 }
 
@@ -178,5 +178,5 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("timed out waiting for: %s", what)
 }
--- a/internal/entry/prefix_test.go
+++ b/internal/entry/prefix_test.go
@@ -13,10 +13,11 @@
 	"github.com/rosemarypass/rosemarypass/internal/entry"
 )
 
-// A conversation's first turn ran on one of several engines that have the
-// adapter, not the one that its adapter prefers. Its next turn would have its
-// whole prompt computed again elsewhere, and the caller would wait for that.
-func TestNextTurnGoesWhereTheLastOneRan(t *testing.T) {
+// The first turn of a conversation ran on one of several engines that have the
+// adapter loaded, but not on the preferred engine of the adapter. If the next turn
+// ran elsewhere, its complete prompt would be computed again while the caller
+// waits.
+func TestNextTurnRunsWherePreviousTurnRan(t *testing.T) {
 	ref, _ := catalogue.ParseRef(model)
 	names := []string{"a", "b", "c", "d"}
 	var ran atomic.Value
@@ -25,7 +26,8 @@
 		upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			ran.Store(name)
 			_, _ = io.WriteString(w, `{"model":"`+model+`"}`)
-			// In chunks: the caller sees the end only after the entry is done.
+			// The answer is chunked, so the caller sees its end only after the
+			// entry is done.
 			_ = http.NewResponseController(w).Flush()
 		}))
 		t.Cleanup(upstream.Close)
@@ -38,33 +40,33 @@
 	turn := func(prompt string) string {
 		ran.Store("")
 		if got := call(t, server, http.MethodPost, "/v1/completions", "", `{"model":"`+model+`","prompt":"`+prompt+`"}`); got.status != http.StatusOK {
-			t.Fatalf("answered %d: %s", got.status, got.body)
+			t.Fatalf("status %d: %s", got.status, got.body)
 		}
 		return ran.Load().(string)
 	}
-	home := turn("short")
-	// Away from home: its batch is full.
-	others := append([]membership.Announcement(nil), engines...)
-	for i := range others {
-		if others[i].Server == home {
-			others[i].Sequence, others[i].Load.Running, others[i].Load.Waiting = 1, 16, 16
+	preferred := turn("short")
+	// The preferred engine has a full batch, so the turn runs elsewhere.
+	preferredBusy := append([]membership.Announcement(nil), engines...)
+	for i := range preferredBusy {
+		if preferredBusy[i].Server == preferred {
+			preferredBusy[i].Sequence, preferredBusy[i].Load.Running, preferredBusy[i].Load.Waiting = 1, 16, 16
 		}
 	}
-	from.servers = others
+	from.servers = preferredBusy
 	conversation := strings.Repeat("x", 4096)
 	first := turn(conversation)
-	if first == "" || first == home {
-		t.Fatalf("the first turn ran on %q, home is %q", first, home)
+	if first == "" || first == preferred {
+		t.Fatalf("the first turn ran on %q, the preferred engine is %q", first, preferred)
 	}
-	freed := append([]membership.Announcement(nil), engines...)
-	for i := range freed {
-		freed[i].Sequence = 2
+	allFree := append([]membership.Announcement(nil), engines...)
+	for i := range allFree {
+		allFree[i].Sequence = 2
 	}
-	from.servers = freed
+	from.servers = allFree
 	if next := turn(conversation + " and more"); next != first {
 		t.Errorf("the next turn ran on %q, the first on %q", next, first)
 	}
-	if other := turn(strings.Repeat("y", 4096)); other != home {
-		t.Errorf("another conversation ran on %q, home is %q", other, home)
+	if other := turn(strings.Repeat("y", 4096)); other != preferred {
+		t.Errorf("another conversation ran on %q, the preferred engine is %q", other, preferred)
 	}
 }
--- a/internal/entry/priority_test.go
+++ b/internal/entry/priority_test.go
@@ -7,8 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A caller writes a priority of its own, in order to be served before other
-// customers.
+// A caller sets a priority of its own to be served before other customers.
 func TestOnlyTheContractSetsThePriority(t *testing.T) {
 	cases := []struct {
 		body     string
--- a/internal/entry/resume_test.go
+++ b/internal/entry/resume_test.go
@@ -16,79 +16,80 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// cuttingLine forwards connections and cuts each after some bytes of answer.
-type cuttingLine struct {
+// cuttingProxy forwards connections and cuts each after a random number of answer
+// bytes.
+type cuttingProxy struct {
 	to       string
 	listener net.Listener
 	mu       sync.Mutex
 	random   *rand.Rand
 	cuts     int
-	// dead lines accept nothing any more.
-	dead bool
+	// down makes the proxy close new connections immediately.
+	down bool
 }
 
-func startLine(t *testing.T, to string) *cuttingLine {
+func startCuttingProxy(t *testing.T, to string) *cuttingProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	line := &cuttingLine{to: to, listener: listener, random: rand.New(rand.NewPCG(1, 2))}
+	proxy := &cuttingProxy{to: to, listener: listener, random: rand.New(rand.NewPCG(1, 2))}
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go line.forward(conn)
+			go proxy.forward(conn)
 		}
 	}()
-	return line
+	return proxy
 }
 
-func (l *cuttingLine) forward(near net.Conn) {
-	defer near.Close()
-	l.mu.Lock()
-	allowance, dead := int64(100+l.random.IntN(3000)), l.dead
-	l.mu.Unlock()
-	if dead {
+func (p *cuttingProxy) forward(client net.Conn) {
+	defer client.Close()
+	p.mu.Lock()
+	allowance, down := int64(100+p.random.IntN(3000)), p.down
+	p.mu.Unlock()
+	if down {
 		return
 	}
-	far, err := net.Dial("tcp", l.to)
+	server, err := net.Dial("tcp", p.to)
 	if err != nil {
 		return
 	}
-	defer far.Close()
-	go func() { _, _ = io.Copy(far, near) }()
-	if n, _ := io.CopyN(near, far, allowance); n == allowance {
-		l.mu.Lock()
-		l.cuts++
-		l.mu.Unlock()
+	defer server.Close()
+	go func() { _, _ = io.Copy(server, client) }()
+	if n, _ := io.CopyN(client, server, allowance); n == allowance {
+		p.mu.Lock()
+		p.cuts++
+		p.mu.Unlock()
 	}
 }
 
-func (l *cuttingLine) count() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.cuts
+func (p *cuttingProxy) count() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.cuts
 }
 
-func (l *cuttingLine) kill() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.dead = true
+func (p *cuttingProxy) shutDown() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.down = true
 }
 
-// The line between entry and agent drops again and again within one stream. A
-// caller who saw a repeat or a gap would get a rehearsal plan with a day twice
-// or a day missing.
-func TestACutLineNeitherRepeatsNorLosesAToken(t *testing.T) {
+// The connection between entry and agent is cut repeatedly within one stream. If
+// tokens were repeated or lost, the caller would get a rehearsal plan with a day
+// twice or a day missing.
+func TestResumedAnswerNeitherRepeatsNorLosesTokens(t *testing.T) {
 	for _, stream := range []bool{true, false} {
 		e := engine.New(engine.Options{BaseModel: baseModel, Slots: 2, TokenTime: 200 * time.Microsecond})
 		_, address := startAgent(t, e.Handler())
-		line := startLine(t, address)
-		_, server := newEntry(t, entry.Options{}, newSource(engineServer("floor-1", line.listener.Addr().String())))
+		proxy := startCuttingProxy(t, address)
+		_, server := newEntry(t, entry.Options{}, newSource(engineServer("floor-1", proxy.listener.Addr().String())))
 		const tokens = 150
 		got := call(t, server, http.MethodPost, "/v1/completions", "", completion("x", tokens, stream))
 		id := got.header.Get(wire.HeaderRequestID)
@@ -102,49 +103,50 @@
 			at += found + len(text)
 		}
 		if n := strings.Count(got.body, model+"/"); n != tokens || got.cut || got.outcome != outcome.Answered {
-			t.Errorf("stream %v: %d tokens of %d, cut %v, told %v", stream, n, tokens, got.cut, got.outcome)
+			t.Errorf("stream %v: %d tokens of %d, cut %v, outcome %v", stream, n, tokens, got.cut, got.outcome)
 		}
-		if len(e.Ran()) != 1 || line.count() < 3 {
-			t.Errorf("stream %v: the engine ran %d requests over %d cuts", stream, len(e.Ran()), line.count())
+		if len(e.Ran()) != 1 || proxy.count() < 3 {
+			t.Errorf("stream %v: the engine ran %d requests over %d cuts", stream, len(e.Ran()), proxy.count())
 		}
 	}
 }
 
-// The line drops in the middle of a stream and stays down. The caller must see
-// that its answer is not whole, and the engine must not go on for nobody.
-func TestALineThatStaysDownIsVisibleAndEndsTheWork(t *testing.T) {
+// The connection breaks in the middle of a stream and cannot be re-established. The
+// caller must see that its answer is truncated, and the engine must stop generating
+// it.
+func TestPermanentCutIsVisibleAndCancelsWork(t *testing.T) {
 	e := engine.New(engine.Options{BaseModel: baseModel, Slots: 2, TokenTime: time.Millisecond})
 	_, address := startAgent(t, e.Handler())
-	line := startLine(t, address)
-	_, server := newEntry(t, entry.Options{}, newSource(engineServer("floor-1", line.listener.Addr().String())))
-	done := make(chan told, 1)
+	proxy := startCuttingProxy(t, address)
+	_, server := newEntry(t, entry.Options{}, newSource(engineServer("floor-1", proxy.listener.Addr().String())))
+	done := make(chan callResult, 1)
 	go func() {
 		done <- call(t, server, http.MethodPost, "/v1/completions", "", completion("x", 1<<20, true))
 	}()
-	eventually(t, "the line was cut in the stream", func() bool { return line.count() > 1 })
-	line.kill()
+	eventually(t, "the connection is cut within the stream", func() bool { return proxy.count() > 1 })
+	proxy.shutDown()
 	got := <-done
 	if !got.cut || !strings.Contains(got.body, `"code":"unknown_outcome"`) {
-		t.Errorf("the caller saw no error and a clean end")
+		t.Errorf("the answer looks complete or has no error event")
 	}
-	eventually(t, "the engine's work is cancelled", func() bool { return e.Cancelled() == 1 })
+	eventually(t, "the engine's request is cancelled", func() bool { return e.Cancelled() == 1 })
 }
 
-// A server dies before its first token. The request can run elsewhere, and its
-// caller should notice nothing but the time.
-func TestARequestWhoseServerDiedRunsElsewhere(t *testing.T) {
-	dying := engine.New(engine.Options{BaseModel: baseModel, Slots: 2, CrashMarker: "x"})
-	well := engine.New(engine.Options{BaseModel: baseModel, Slots: 2})
-	_, first := startAgent(t, dying.Handler())
-	_, second := startAgent(t, well.Handler())
+// A server crashes before its first token. The request can run on another server,
+// and its caller should notice only the delay.
+func TestRequestRunsElsewhereAfterServerCrash(t *testing.T) {
+	crashing := engine.New(engine.Options{BaseModel: baseModel, Slots: 2, CrashMarker: "x"})
+	healthy := engine.New(engine.Options{BaseModel: baseModel, Slots: 2})
+	_, first := startAgent(t, crashing.Handler())
+	_, second := startAgent(t, healthy.Handler())
 	busy := engineServer("floor-2", second)
 	busy.Load.Running = 9
 	_, server := newEntry(t, entry.Options{}, newSource(engineServer("floor-1", first), busy))
 	got := call(t, server, http.MethodPost, "/v1/completions", "", completion("x", 3, true))
 	if got.outcome != outcome.Answered || got.cut || strings.Count(got.body, model+"/") != 3 {
-		t.Errorf("told %v: %s", got.outcome, got.body)
+		t.Errorf("outcome %v: %s", got.outcome, got.body)
 	}
-	if len(dying.Ran()) != 1 || len(well.Ran()) != 1 {
-		t.Errorf("ran %d and %d", len(dying.Ran()), len(well.Ran()))
+	if len(crashing.Ran()) != 1 || len(healthy.Ran()) != 1 {
+		t.Errorf("the crashing engine ran %d requests, the healthy one %d", len(crashing.Ran()), len(healthy.Ran()))
 	}
 }
--- a/internal/entry/trial_test.go
+++ b/internal/entry/trial_test.go
@@ -16,12 +16,12 @@
 	"github.com/rosemarypass/rosemarypass/internal/standin/engine"
 )
 
-// suspicionLog stands for the replicated log and the feed of its changes.
+// suspicionLog replaces the replicated log and the feed of its changes.
 type suspicionLog struct {
 	mu        sync.Mutex
 	index     uint64
 	table     *suspicion.Table
-	followers []*source
+	followers []*fixedSource
 }
 
 func (l *suspicionLog) Suspect(_ context.Context, command suspicion.Command) (suspicion.Verdict, error) {
@@ -37,13 +37,13 @@
 
 const (
 	crashingPrompt = "crash"
-	innocents      = 12
+	otherCallers   = 12
 )
 
-// One quote request crashes every engine that runs it, in the middle of other
-// callers' drafts, and a floor terminal sends it again through another entry
-// each time. Every crash costs all drafts on that engine their time.
-func TestACrashingRequestTakesAtMostTwoServersThroughAnyEntry(t *testing.T) {
+// One quote request crashes every engine that runs it while other callers' drafts
+// run there, and a floor terminal resends it through another entry each time. Every
+// crash delays all drafts on that engine.
+func TestCrashingRequestCrashesAtMostTwoServers(t *testing.T) {
 	log := &suspicionLog{table: suspicion.NewTable(suspicion.DefaultLimits)}
 	var engines []*engine.Engine
 	var announced []membership.Announcement
@@ -61,12 +61,12 @@
 		entries = append(entries, server)
 	}
 	var callers sync.WaitGroup
-	for i := range innocents {
+	for i := range otherCallers {
 		callers.Go(func() {
 			for range 6 {
 				got := call(t, entries[i%2], http.MethodPost, "/v1/completions", "", completion(fmt.Sprint("draft ", i), 60, true))
 				if got.status == http.StatusUnprocessableEntity {
-					t.Errorf("innocent %d was refused: %s", i, got.body)
+					t.Errorf("other caller %d was refused: %s", i, got.body)
 				}
 			}
 		})
@@ -91,6 +91,6 @@
 		}
 	}
 	if crashes != 2 || refused == 0 {
-		t.Errorf("%d engines crashed, the request was refused %d times of 8", crashes, refused)
+		t.Errorf("%d crashes, the request was refused %d times out of 8", crashes, refused)
 	}
 }
--- a/internal/entry/visit_test.go
+++ b/internal/entry/visit_test.go
@@ -9,10 +9,11 @@
 	"testing"
 )
 
-// A handler that writes to its caller itself can write a second header, go on in a
-// begun body, or return in the middle of it, and net/http makes that look whole.
-// Only the visit hands a connection on, to the package that writes answers.
-func TestOnlyAVisitSeesACallersConnection(t *testing.T) {
+// A handler that writes to its caller directly can write a second header, continue
+// a body that was started, or return in the middle of it, and net/http makes the
+// result look complete. Only visit.go may pass a connection on, to the package that
+// writes answers.
+func TestOnlyVisitFileAccessesCallerConnections(t *testing.T) {
 	files, err := os.ReadDir(".")
 	if err != nil {
 		t.Fatal(err)
@@ -35,6 +36,6 @@
 		})
 	}
 	if len(seen) != 1 || !seen["visit.go"] {
-		t.Errorf("callers' connections are seen in %v, want visit.go only", seen)
+		t.Errorf("callers' connections are accessed in %v, want visit.go only", seen)
 	}
 }
--- a/internal/entry/wait_test.go
+++ b/internal/entry/wait_test.go
@@ -13,19 +13,19 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// Every server is full. The caller learns which clause ends its wait, and that
-// it may come back; no server is told that it has more time than is left.
-func TestWaitAtFullServersIsRefusedByItsClause(t *testing.T) {
-	var last, asked atomic.Int64
+// Every server is full. The caller must be told which clause ends its wait and that
+// it may retry, and no server may be told a longer wait than remains.
+func TestWaitAtFullServersIsRefusedWithClause(t *testing.T) {
+	var last, attempts atomic.Int64
 	last.Store(1 << 40)
 	full := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		left, err := strconv.ParseInt(r.Header.Get(wire.HeaderMaxWait), 10, 64)
 		if err != nil || left > last.Swap(left) {
-			t.Errorf("a server was told a wait of %q", r.Header.Get(wire.HeaderMaxWait))
+			t.Errorf("a server received the remaining wait %q", r.Header.Get(wire.HeaderMaxWait))
 		}
 		w.Header().Set(outcome.Header, outcome.NotRun.String())
 		w.Header().Set(wire.HeaderClause, "maxWait")
-		w.Header().Set("Retry-After", strconv.FormatInt(7-asked.Add(1), 10))
+		w.Header().Set("Retry-After", strconv.FormatInt(7-attempts.Add(1), 10))
 		w.WriteHeader(http.StatusTooManyRequests)
 	}))
 	defer full.Close()
@@ -33,9 +33,9 @@
 	_, server := newEntry(t, entry.Options{}, newSource(engineServer("floor-1", address), engineServer("floor-2", address)))
 	got := call(t, server, http.MethodPost, "/v1/completions", "", completion("x", 3, false))
 	if got.outcome != outcome.NotRun || !strings.Contains(got.body, `"code":"limit_reached","param":"maxWait"`) {
-		t.Errorf("told %v: %s", got.outcome, got.body)
+		t.Errorf("outcome %v: %s", got.outcome, got.body)
 	}
-	if want := strconv.FormatInt(7-asked.Load(), 10); asked.Load() < 2 || got.header.Get("Retry-After") != want {
-		t.Errorf("after %d servers the caller is to come back in %q s, want %q", asked.Load(), got.header.Get("Retry-After"), want)
+	if want := strconv.FormatInt(7-attempts.Load(), 10); attempts.Load() < 2 || got.header.Get("Retry-After") != want {
+		t.Errorf("after %d servers Retry-After is %q, want %q", attempts.Load(), got.header.Get("Retry-After"), want)
 	}
 }
