--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,7 @@
-// Package agent is the process beside a backend server and the only gate to
-// it: it owns the engine's adapter slots, queues requests for them, gives the
-// engine its orders and announces the server.
+// Package agent implements the process that runs beside a backend server and is
+// the only access to it. It manages the engine's adapter slots, queues requests
+// for them, sends load and unload orders to the engine and announces the server
+// to control.
 package agent
 
 import (
@@ -20,131 +21,136 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// Options configure an agent.
+// Options configures an agent.
 type Options struct {
 	Server     string
 	Pool       string
 	DataCentre string
 	BaseModel  string
-	// Address is where entries reach this agent.
+	// Address is the address at which entries reach this agent.
 	Address string
 	// Engine is the engine's base URL.
 	Engine string
-	// Slots and Queue bound the slot table.
+	// Slots is the number of adapter slots and Queue the maximum number of
+	// waiting requests.
 	Slots int
 	Queue int
-	// LoadTimeout bounds one order to the engine.
+	// LoadTimeout is the timeout of one order to the engine.
 	LoadTimeout time.Duration
-	// AnnounceInterval is the time between announcements.
+	// AnnounceInterval is the time between two announcements.
 	AnnounceInterval time.Duration
-	// ControlPeers are the control instances to announce to.
+	// ControlPeers are the addresses of the control instances to announce to.
 	ControlPeers []string
-	// RPC are the options of connections to the control instances.
+	// RPC are the options of the connections to the control instances.
 	RPC []rpc.ClientOption
-	// Suspicions takes reports of crashes; without it none are reported.
+	// Suspicions receives crash reports. If nil, crashes are not reported.
 	Suspicions Suspicions
-	// Fencer issues fencing numbers; without it orders carry the number 0.
+	// Fencer issues fencing numbers. If nil, orders carry the number 0.
 	Fencer Fencer
 }
 
-// Agent gates one engine.
+// Agent controls the access to one engine.
 type Agent struct {
 	options Options
 	log     *zap.Logger
 	orders  *orderClient
 	client  *http.Client
-	// requests is the ring of new and cancelled requests. A request that
-	// finds it full is refused as not run.
+	// requests is the queue of new and cancelled requests. A request that finds
+	// it full is refused as not run.
 	requests chan event
-	// ends is the ring of releases and of the results of orders. The slot
-	// duty empties it first and never waits, so that bulk work in requests
-	// cannot hold a release up.
-	ends chan event
-	// stopped is closed when the slot duty has ended and reads no ring.
+	// priorityEvents is the queue of releases and of the results of orders. The
+	// slot duty drains it first and never blocks, so that a flood of requests
+	// cannot delay a release.
+	priorityEvents chan event
+	// stopped is closed when the slot duty has ended and no longer reads the
+	// queues.
 	stopped chan struct{}
 	permits *permitClient
 	gate    *drain.Gate
 	runs    *runs
 	seats   *seats
 	crashes crashes
-	// incarnation is the engine's, as last seen.
+	// incarnation is the engine's last reported incarnation.
 	incarnation atomic.Uint64
-	// seen is closed once the engine has reported for the first time.
-	seen      chan struct{}
-	isolation isolation
-	// closed is true while operators want the server drained or stopped.
-	closed   atomic.Bool
-	started  uint64
-	sequence atomic.Uint64
-	status   atomic.Pointer[membership.Load]
+	// firstReport is closed after the engine's first report.
+	firstReport chan struct{}
+	isolation   isolation
+	// operatorClosed is true while operators want the server drained or
+	// stopped.
+	operatorClosed atomic.Bool
+	started        uint64
+	sequence       atomic.Uint64
+	status         atomic.Pointer[membership.Load]
 }
 
-// New returns an agent; Run starts its duties.
+// New returns an agent. Run starts its duties.
 func New(options Options, client *http.Client, log *zap.Logger) *Agent {
 	a := &Agent{
-		options:  options,
-		log:      log,
-		orders:   &orderClient{base: options.Engine, client: client, timeout: options.LoadTimeout, fencing: newFencingNumber(options.Fencer)},
-		client:   client,
-		requests: make(chan event, options.Queue+eventSlack),
-		ends:     make(chan event, options.Queue+eventSlack),
-		stopped:  make(chan struct{}),
-		seen:     make(chan struct{}),
-		started:  uint64(time.Now().UnixNano()),
-		gate:     drain.NewGate(),
-		runs:     newRuns(),
+		options:        options,
+		log:            log,
+		orders:         &orderClient{base: options.Engine, client: client, timeout: options.LoadTimeout, fencing: newFencingNumber(options.Fencer)},
+		client:         client,
+		requests:       make(chan event, options.Queue+eventSlack),
+		priorityEvents: make(chan event, options.Queue+eventSlack),
+		stopped:        make(chan struct{}),
+		firstReport:    make(chan struct{}),
+		started:        uint64(time.Now().UnixNano()),
+		gate:           drain.NewGate(),
+		runs:           newRuns(),
 	}
-	a.orders.superseded = a.supersede
+	a.orders.onSuperseded = a.supersede
 	a.status.Store(&membership.Load{})
 	a.seats = newSeats(options.Queue, func() int { return a.status.Load().Capacity })
 	a.permits = newPermitClient(options, a.started)
 	return a
 }
 
-// eventSlack is the room in the slot duty's rings beyond one event per queued request.
+// eventSlack is the capacity of the slot duty's event queues beyond one event
+// per queued request.
 const eventSlack = 64
 
 // Run starts the slot duty, the engine watch, the permit duty and the
-// announcements, and returns when ctx ends.
+// announcements. It returns when ctx ends.
 func (a *Agent) Run(ctx context.Context) {
 	var duties sync.WaitGroup
 	duties.Go(func() { a.runSlots(ctx) })
 	duties.Go(func() { a.acquireFencing(ctx) })
 	duties.Go(func() { a.seats.run(ctx) })
 	duties.Go(func() { a.watchEngine(ctx) })
-	duties.Go(func() { a.permits.run(ctx, a.sendEnd) })
+	duties.Go(func() { a.permits.run(ctx, a.sendPriority) })
 	duties.Go(func() { a.announceAll(ctx) })
 	duties.Go(func() { a.followWanted(ctx) })
 	duties.Wait()
 }
 
-// watchEngine learns the engine's load and notices its restarts.
+// watchEngine polls the engine's load and detects its restarts.
 func (a *Agent) watchEngine(ctx context.Context) {
-	first := sync.OnceFunc(func() { close(a.seen) })
+	markReported := sync.OnceFunc(func() { close(a.firstReport) })
 	for ctx.Err() == nil {
 		if report, err := a.orders.report(ctx); err == nil {
 			a.incarnation.Store(report.Incarnation)
-			a.sendEnd(engineSeen{report: report})
-			first()
+			a.sendPriority(engineReported{report: report})
+			markReported()
 		}
 		_ = wait.For(ctx, a.options.AnnounceInterval)
 	}
 }
 
-// errEngineUnseen means that the engine has not reported since this agent began.
-var errEngineUnseen = errors.New("the engine has not been seen yet")
+// errEngineNotReported means that the engine has not reported since this agent
+// started.
+var errEngineNotReported = errors.New("the engine has not been seen yet")
 
-// awaitEngine waits for the engine's first report. A request that began before
-// it would belong to no known incarnation: a crash that it caused would pass
-// for an ordinary failure, and its resend would crash the next engine.
+// awaitEngine waits for the engine's first report. A request started before
+// that report would belong to no known incarnation: a crash caused by it would
+// be taken for an ordinary failure, and its retry would crash the next engine.
 func (a *Agent) awaitEngine(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, a.options.LoadTimeout)
 	defer cancel()
 	select {
-	case <-a.seen:
+	case <-a.firstReport:
 		return nil
 	case <-ctx.Done():
-		return errEngineUnseen
+		return errEngineNotReported
 	}
 }
 
@@ -156,7 +162,7 @@
 	peers.Wait()
 }
 
-// announceTo announces to one control instance, whatever happens to the others.
+// announceTo announces to one control instance, independently of the others.
 func (a *Agent) announceTo(ctx context.Context, address string) {
 	client := rpc.NewClient(address, a.options.RPC...)
 	defer client.Close()
--- a/internal/agent/broker_test.go
+++ b/internal/agent/broker_test.go
@@ -18,20 +18,20 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// storeMeter counts the loads that engines have in flight together.
-type storeMeter struct{ now, most atomic.Int64 }
+// loadMeter counts the loads that all engines have in flight and their peak.
+type loadMeter struct{ inFlight, peak atomic.Int64 }
 
-func (m *storeMeter) watch(next http.Handler) http.Handler {
+func (m *loadMeter) watch(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !strings.HasPrefix(r.URL.Path, "/v1/load") {
 			next.ServeHTTP(w, r)
 			return
 		}
-		now := m.now.Add(1)
-		for most := m.most.Load(); now > most && !m.most.CompareAndSwap(most, now); most = m.most.Load() {
+		now := m.inFlight.Add(1)
+		for peak := m.peak.Load(); now > peak && !m.peak.CompareAndSwap(peak, now); peak = m.peak.Load() {
 		}
 		next.ServeHTTP(w, r)
-		m.now.Add(-1)
+		m.inFlight.Add(-1)
 	})
 }
 
@@ -54,28 +54,29 @@
 	return listener.Addr().String(), stop
 }
 
-// Three servers wake up together and load at will: the weight store gets slower
-// for all of them. The broker holds them to its limit; when it dies, they go on.
-func TestAgentsShareTheWeightStoreAndOutliveTheirBroker(t *testing.T) {
+// Three servers start loading at the same time. Without a limit, the weight
+// store would become slow for all of them. The broker must enforce its limit,
+// and the agents must continue when the broker fails.
+func TestAgentsKeepBrokerLimitAndSurviveBrokerFailure(t *testing.T) {
 	const limit = 2
 	address, stopBroker := startBroker(t, limit)
-	var meter storeMeter
+	var meter loadMeter
 	var urls []string
 	for range 3 {
 		e := engine.New(engine.Options{BaseModel: "base", Slots: 4, TokenTime: time.Millisecond, LoadTime: 20 * time.Millisecond})
 		server := httptest.NewServer(meter.watch(e.Handler()))
 		t.Cleanup(server.Close)
-		b := &bench{engine: e, engineURL: server.URL, server: fmt.Sprintf("floor-assist-%d", len(urls))}
+		b := &backend{engine: e, engineURL: server.URL, server: fmt.Sprintf("floor-assist-%d", len(urls))}
 		url, _ := b.startAgent(t, 4, address)
 		urls = append(urls, url)
 	}
-	answerAll := func(first int) {
+	requestAll := func(first int) {
 		var callers sync.WaitGroup
 		for i, url := range urls {
 			for adapter := range 8 {
 				callers.Go(func() {
 					model := fmt.Sprintf("a%d@1", first+10*i+adapter)
-					if got := ask(t.Context(), url, model, "2"); got.status != http.StatusOK || got.ran != model {
+					if got := complete(t.Context(), url, model, "2"); got.status != http.StatusOK || got.model != model {
 						t.Errorf("%s: %+v", model, got)
 					}
 				})
@@ -83,10 +84,10 @@
 		}
 		callers.Wait()
 	}
-	answerAll(0)
-	if most := meter.most.Load(); most > limit {
-		t.Errorf("%d loads were in flight with a limit of %d", most, limit)
+	requestAll(0)
+	if peak := meter.peak.Load(); peak > limit {
+		t.Errorf("%d loads were in flight with a limit of %d", peak, limit)
 	}
 	stopBroker()
-	answerAll(100)
+	requestAll(100)
 }
--- a/internal/agent/crash.go
+++ b/internal/agent/crash.go
@@ -16,22 +16,25 @@
 	crashUnreportedCount = telemetry.Counter("agent_engine_crashes_unreported")
 )
 
-// crashReportTimeout bounds how long the requests of a crashed engine wait
-// until the crash is known to all entries. Without it a resend through another
-// entry could crash a further engine before anybody suspects it.
+// crashReportTimeout is the maximum time for which the requests of a crashed
+// engine wait until all entries know of the crash. Without the wait, a retry
+// through another entry could crash a second engine before the request is
+// suspected.
 const crashReportTimeout = time.Second
 
-// Suspicions takes reports of crashes to the replicated log.
+// Suspicions appends crash reports to the replicated log.
 type Suspicions interface {
 	Suspect(ctx context.Context, command suspicion.Command) (suspicion.Verdict, error)
 }
 
-// crashes notices that the engine crashed, once for all requests that were on it.
+// crashes deduplicates engine crashes: all requests that were running when the
+// engine crashed count as one crash.
 type crashes struct {
 	mu sync.Mutex
-	// epoch counts crashes; a request belongs to the epoch in which it began.
+	// epoch counts crashes. A request belongs to the epoch in which it started.
 	epoch uint64
-	// reported is closed when the last crash is in the log or given up.
+	// reported is closed when the last crash is in the log or its report has
+	// failed.
 	reported chan struct{}
 }
 
@@ -41,8 +44,9 @@
 	return c.epoch
 }
 
-// begin ends an epoch. first is true for the request that is to report it.
-func (c *crashes) begin(epoch uint64) (first bool, reported chan struct{}) {
+// record counts the crash that ended the given epoch. first is true for the one
+// request that must report it; reported is closed after that report.
+func (c *crashes) record(epoch uint64) (first bool, reported chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if epoch < c.epoch {
@@ -53,13 +57,13 @@
 	return true, c.reported
 }
 
-// engineCrashed says whether a request failed because the engine crashed, and
-// returns once that is reported.
+// engineCrashed reports whether a request failed because the engine crashed. It
+// returns after the crash has been reported.
 func (a *Agent) engineCrashed(ctx context.Context, failed *run) bool {
-	if ctx.Err() != nil || !a.engineGone(ctx, failed) {
+	if ctx.Err() != nil || !a.incarnationEnded(ctx, failed) {
 		return false
 	}
-	first, reported := a.crashes.begin(failed.epoch)
+	first, reported := a.crashes.record(failed.epoch)
 	if first {
 		a.reportCrash(ctx, failed.epoch)
 		close(reported)
@@ -71,9 +75,11 @@
 	return true
 }
 
-// engineGone asks the engine. One that answers in the incarnation in which the
-// request began has only failed the request.
-func (a *Agent) engineGone(ctx context.Context, failed *run) bool {
+// incarnationEnded queries the engine and reports whether the incarnation in
+// which the request started has ended: the engine does not answer, or reports
+// another incarnation. If the engine answers in the same incarnation, only the
+// request has failed.
+func (a *Agent) incarnationEnded(ctx context.Context, failed *run) bool {
 	report, err := a.orders.report(ctx)
 	return err != nil || failed.incarnation != 0 && report.Incarnation != failed.incarnation
 }
@@ -92,23 +98,24 @@
 	}
 }
 
-// unfinished are the distinct requests of an epoch that are at the engine still.
-// Those that a crash cut off count, because they end only when it is reported.
-// One that ended before in any way does not: a request that the engine refused
-// would pass for a neighbour of a suspect that ran alone, and the suspect would
-// not be convicted.
+// unfinished returns the distinct fingerprints of an epoch's requests that are
+// still at the engine. Requests cut off by a crash are included, because they
+// end only after the crash is reported. Requests that ended earlier are
+// excluded: a request that the engine refused would count as running
+// concurrently with a suspect that in fact ran alone, and the suspect would not
+// be convicted.
 func (s *runs) unfinished(epoch uint64) []suspicion.Fingerprint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	seen := make(map[suspicion.Fingerprint]struct{})
-	var all []suspicion.Fingerprint
+	var fingerprints []suspicion.Fingerprint
 	for _, r := range s.byID {
 		_, known := seen[r.fingerprint]
 		if known || r.epoch != epoch || r.fingerprint == "" || r.ended() {
 			continue
 		}
 		seen[r.fingerprint] = struct{}{}
-		all = append(all, r.fingerprint)
+		fingerprints = append(fingerprints, r.fingerprint)
 	}
-	return all
+	return fingerprints
 }
--- a/internal/agent/fencing.go
+++ b/internal/agent/fencing.go
@@ -14,22 +14,24 @@
 
 var supersededCount = telemetry.Counter("agent_superseded")
 
-// fencingRetry is the pause after a failed question for a fencing number.
+// fencingRetry is the pause after a failed request for a fencing number.
 const fencingRetry = 200 * time.Millisecond
 
 var errNoNumber = errors.New("no fencing number was issued yet")
 
-// Fencer issues fencing numbers from the replicated log, each above all before.
+// Fencer issues fencing numbers from the replicated log. Each number is greater
+// than all earlier ones.
 type Fencer interface {
 	Fence(ctx context.Context, server, holder string) (uint64, error)
 }
 
-// fencingNumber is this agent's number. An agent that was replaced, but is
-// still running somewhere, would otherwise go on loading and evicting at an
-// engine that another one fills; an engine that enforces numbers refuses it.
+// fencingNumber is this agent's fencing number. Without it, an agent that was
+// replaced but still runs elsewhere would continue to load and evict adapters
+// on an engine that its replacement manages. An engine that enforces fencing
+// numbers refuses the orders of the older agent.
 type fencingNumber struct {
-	// issued is closed when number is set. Without a fencer it is closed
-	// from the start, and the number is 0.
+	// issued is closed when number is set. Without a fencer it is closed from
+	// the start, and the number is 0.
 	issued chan struct{}
 	number uint64
 }
@@ -42,7 +44,7 @@
 	return f
 }
 
-// get waits for the number.
+// get waits until the number is issued and returns it.
 func (f *fencingNumber) get(ctx context.Context) (uint64, error) {
 	select {
 	case <-f.issued:
@@ -52,7 +54,7 @@
 	}
 }
 
-// acquireFencing asks for a number until it has one.
+// acquireFencing requests a fencing number until it gets one.
 func (a *Agent) acquireFencing(ctx context.Context) {
 	if a.options.Fencer == nil {
 		return
@@ -69,12 +71,13 @@
 	}
 }
 
-// supersede takes this agent out of service: its engine has obeyed a newer one.
+// supersede takes this agent out of service because its engine has accepted
+// orders of a newer agent.
 func (a *Agent) supersede() {
 	if a.gate.Closed() {
 		return
 	}
 	supersededCount.Add(1)
-	a.log.Error("the engine refuses this agent's fencing number: a newer agent owns it", zap.Uint64("number", a.orders.fencing.number))
+	a.log.Error("engine refused the fencing number of this agent; a newer agent manages the engine", zap.Uint64("number", a.orders.fencing.number))
 	a.gate.Close()
 }
--- a/internal/agent/fencing_test.go
+++ b/internal/agent/fencing_test.go
@@ -16,21 +16,21 @@
 	"github.com/rosemarypass/rosemarypass/internal/standin/engine"
 )
 
-// numbers issues fencing numbers as the replicated log does.
-type numbers struct{ last atomic.Uint64 }
+// fencer issues fencing numbers as the replicated log does.
+type fencer struct{ last atomic.Uint64 }
 
-func (n *numbers) Fence(context.Context, string, string) (uint64, error) { return n.last.Add(1), nil }
+func (f *fencer) Fence(context.Context, string, string) (uint64, error) { return f.last.Add(1), nil }
 
 // An agent was replaced, but its process still runs behind a partition and gets
-// requests from an entry that has not heard. Its loads would push out adapters
-// that the new agent's callers are using.
-func TestAReplacedAgentLoadsNothingAndLeaves(t *testing.T) {
-	b := newBench(t, engine.Options{Slots: 2, TokenTime: time.Millisecond})
-	var issued numbers
+// requests from an entry that does not know of the replacement. Its loads would
+// evict adapters that callers of the new agent use.
+func TestReplacedAgentLoadsNothingAndLeaves(t *testing.T) {
+	b := newBackend(t, engine.Options{Slots: 2, TokenTime: time.Millisecond})
+	var numbers fencer
 	start := func() string {
 		a := agent.New(agent.Options{
-			Server: "floor-assist-1", BaseModel: "base", Engine: b.engineURL, Fencer: &issued,
-			Slots: 2, Queue: 32, LoadTimeout: time.Second, AnnounceInterval: 20 * time.Millisecond, ControlPeers: []string{refusing},
+			Server: "floor-assist-1", BaseModel: "base", Engine: b.engineURL, Fencer: &numbers,
+			Slots: 2, Queue: 32, LoadTimeout: time.Second, AnnounceInterval: 20 * time.Millisecond, ControlPeers: []string{refusedAddress},
 		}, &http.Client{}, zap.NewNop())
 		server := httptest.NewServer(a.Handler())
 		t.Cleanup(server.Close)
@@ -42,15 +42,15 @@
 	replacement := start()
 	b.mustAnswer(t, replacement, "b@1")
 	for range 2 {
-		if got := ask(t.Context(), old, "c@1", "2"); got.said != outcome.NotRun.String() {
-			t.Errorf("the replaced agent: %+v", got)
+		if got := complete(t.Context(), old, "c@1", "2"); got.outcome != outcome.NotRun.String() {
+			t.Errorf("replaced agent answered %+v, want not-run", got)
 		}
 	}
-	if got := ask(t.Context(), old, "a@1", "2"); got.said != outcome.NotRun.String() {
-		t.Errorf("the replaced agent still takes work: %+v", got)
+	if got := complete(t.Context(), old, "a@1", "2"); got.outcome != outcome.NotRun.String() {
+		t.Errorf("replaced agent still accepts requests: %+v", got)
 	}
 	if loaded := b.engine.Loaded(); slices.Contains(loaded, "c@1") || b.engine.EvictedInUse() != 0 {
-		t.Errorf("the engine holds %v", loaded)
+		t.Errorf("engine holds %v", loaded)
 	}
 	b.mustAnswer(t, replacement, "b@1")
 }
--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -30,17 +30,19 @@
 	unknownCount  = telemetry.Counter("agent_requests_unknown")
 )
 
-// maxBodyBytes bounds a request's body; entries refuse larger ones by a lower
-// bound from their settings.
+// maxBodyBytes is the maximum size of a request body. Entries refuse bodies
+// above a lower limit from their settings.
 const maxBodyBytes = 64 << 20
 
-// HeaderSource carries the adapter's place in the weight store from the entry.
+// HeaderSource is the header in which an entry sends the adapter's location in
+// the weight store.
 const HeaderSource = "Rosemarypass-Source"
 
-// weightOf is the weight of a request among those that wait for loads. It
-// grows with the logarithm of the contract's share: a load for a large contract
-// goes first, but not so far that a small one would wait for minutes.
-func weightOf(header http.Header) float64 {
+// loadWeight returns the weight of a request among those that wait for loads.
+// It grows with the logarithm of the contract's share: a load for a large
+// contract goes first, but not at the price of a wait of minutes for a small
+// contract.
+func loadWeight(header http.Header) float64 {
 	share, err := strconv.Atoi(header.Get(wire.HeaderShare))
 	if err != nil || share < 1 {
 		return 1
@@ -48,30 +50,31 @@
 	return 1 + math.Log2(float64(share))
 }
 
-// Handler serves requests from entries.
+// Handler returns the HTTP handler that serves requests from entries.
 func (a *Agent) Handler() http.Handler {
 	router := chi.NewRouter()
-	serve := a.admitted(answer.Handler(a.serve))
+	serve := a.withAdmission(answer.Handler(a.serve))
 	router.Method(http.MethodPost, "/v1/completions", serve)
 	router.Method(http.MethodPost, "/v1/chat/completions", serve)
-	router.Method(http.MethodGet, wire.PathRuns+"{request}", a.counted(answer.Handler(a.resume)))
+	router.Method(http.MethodGet, wire.PathRuns+"{request}", a.withInFlight(answer.Handler(a.resume)))
 	router.Method(http.MethodDelete, wire.PathRuns+"{request}", answer.Handler(a.cancelRun))
 	router.Method(http.MethodGet, "/healthz", answer.Handler(func(*http.Request) answer.Answer { return answer.Full(http.StatusOK, nil, nil) }))
 	return router
 }
 
-// Ready reports whether entries may send requests here.
-func (a *Agent) Ready() bool { return !a.gate.Closed() && !a.closed.Load() }
+// Ready reports whether entries may send requests to this agent.
+func (a *Agent) Ready() bool { return !a.gate.Closed() && !a.operatorClosed.Load() }
 
-// Leave refuses new work from now on.
+// Leave makes the agent refuse new requests.
 func (a *Agent) Leave() { a.gate.Close() }
 
-// Wait refuses new work, returns when no request is in flight or ctx ends, and
-// says how many are left.
+// Wait makes the agent refuse new requests, waits until no request is in flight
+// or ctx ends, and returns the number of requests still in flight.
 func (a *Agent) Wait(ctx context.Context) int { return a.gate.Wait(ctx) }
 
-// admitted lets a request in until its answer is out, unless the agent leaves.
-func (a *Agent) admitted(next http.Handler) http.Handler {
+// withAdmission counts a request as in flight until its answer is written. It
+// refuses the request if the agent is shutting down.
+func (a *Agent) withAdmission(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !a.gate.Enter() {
 			answer.Handler(refuseLeaving).ServeHTTP(w, r)
@@ -88,9 +91,10 @@
 	return refusal(http.StatusServiceUnavailable, "the server is leaving")
 }
 
-// counted lets the agent stop only behind an answer, also when it refuses new
-// requests.
-func (a *Agent) counted(next http.Handler) http.Handler {
+// withInFlight counts a request as in flight until its answer is written, so
+// that the agent does not stop before. Unlike withAdmission it also admits
+// requests while the agent is shutting down.
+func (a *Agent) withInFlight(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		a.gate.Join()
 		defer a.gate.Leave()
@@ -99,7 +103,7 @@
 }
 
 func (a *Agent) serve(r *http.Request) answer.Answer {
-	if a.closed.Load() {
+	if a.operatorClosed.Load() {
 		return refusal(http.StatusServiceUnavailable, "operators want no work here")
 	}
 	if err := a.awaitEngine(r.Context()); err != nil {
@@ -109,9 +113,10 @@
 	if err != nil {
 		return refusal(http.StatusBadRequest, err.Error())
 	}
-	body, err := readWhole(r)
+	body, err := readBody(r)
 	if err != nil {
-		// On a connection that goes on, the refusal would wait for the rest.
+		// The rest of the body is unread. On a kept-alive connection the server
+		// would have to read it before the refusal could be sent.
 		return refusal(http.StatusBadRequest, err.Error()).WithConnectionClose()
 	}
 	leave, err := a.isolation.enter(r.Context(), r.Header.Get(wire.HeaderAlone) != "")
@@ -119,9 +124,9 @@
 		return refusal(http.StatusServiceUnavailable, err.Error())
 	}
 	id := slots.RequestID(requestIDs.Add(1))
-	if err := a.await(r, id, ref); err != nil {
+	if err := a.awaitAdmission(r, id, ref); err != nil {
 		leave()
-		return unstarted(err)
+		return admissionRefusal(err)
 	}
 	admittedCount.Add(1)
 	started := a.start(r, ref, body, func() {
@@ -131,53 +136,54 @@
 	return started.answerFrom(r.Context(), 0)
 }
 
-// await waits until the adapter is pinned and the engine has a seat for the
-// request, for the contract's longest wait in all.
-func (a *Agent) await(r *http.Request, id slots.RequestID, ref catalogue.Ref) error {
-	item := itemOf(r.Header, fairqueue.ID(id), time.Now())
+// awaitAdmission waits until the adapter is pinned and the request has a seat
+// at the engine. Both waits together are bounded by the contract's maximum
+// wait.
+func (a *Agent) awaitAdmission(r *http.Request, id slots.RequestID, ref catalogue.Ref) error {
+	item := queueItem(r.Header, fairqueue.ID(id), time.Now())
 	ctx, cancel := context.WithDeadline(r.Context(), item.Deadline)
 	defer cancel()
-	err := a.acquire(r.WithContext(ctx), id, ref)
+	err := a.acquireSlot(r.WithContext(ctx), id, ref)
 	if err == nil {
-		if err = a.seats.take(ctx, item); err == nil {
+		if err = a.seats.acquire(ctx, item); err == nil {
 			return nil
 		}
-		a.release(id)
+		a.releaseSlot(id)
 	}
-	var over *waitError
-	if !errors.As(err, &over) && r.Context().Err() == nil && ctx.Err() != nil {
+	var waitErr *waitError
+	if !errors.As(err, &waitErr) && r.Context().Err() == nil && ctx.Err() != nil {
 		seatExpiredCount.Add(1)
 		return &waitError{reason: fairqueue.ReasonExpired}
 	}
 	return err
 }
 
-// readWhole reads a request's body before anything is done for it. net/http
-// notices that a peer left only once the body is read, and half a request must
-// never reach the engine.
-func readWhole(r *http.Request) ([]byte, error) {
+// readBody reads the whole request body before any other work is done for the
+// request. net/http detects a disconnected client only after the body has been
+// read, and a partial request must never reach the engine.
+func readBody(r *http.Request) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, maxBodyBytes))
 	return body, errors.Wrap(err, "read body")
 }
 
-// refusal answers a request that did not run and will not.
+// refusal returns the answer to a request that has not run and will not run.
 func refusal(status int, message string) answer.Answer {
 	refusedCount.Add(1)
 	return answer.Text(status, http.Header{outcome.Header: {outcome.NotRun.String()}}, message)
 }
 
-// acquire waits until the adapter is loaded and pinned for the request.
-func (a *Agent) acquire(r *http.Request, id slots.RequestID, ref catalogue.Ref) error {
+// acquireSlot waits until the adapter is loaded and pinned for the request.
+func (a *Agent) acquireSlot(r *http.Request, id slots.RequestID, ref catalogue.Ref) error {
 	_, span := telemetry.Tracer().Start(r.Context(), telemetry.SpanAgentWait)
 	defer span.End()
 	span.SetAttributes(telemetry.AttributeModel.String(ref.String()))
 	reply := make(chan verdict, 1)
-	asked := requested{
-		id: id, ref: ref, source: r.Header.Get(HeaderSource), weight: weightOf(r.Header),
+	request := requested{
+		id: id, ref: ref, source: r.Header.Get(HeaderSource), weight: loadWeight(r.Header),
 		patient: r.Header.Get(wire.HeaderMayDecline) == "", reply: reply,
 	}
 	select {
-	case a.requests <- asked:
+	case a.requests <- request:
 	default:
 		return errors.Wrap(errNotRun, string(slots.ReasonQueueFull))
 	}
@@ -192,17 +198,18 @@
 		}
 		return nil
 	case <-r.Context().Done():
-		// The request may have been started meanwhile: cancelled follows
-		// requested through the same ring and releases it in either case.
+		// The request may have been started in the meantime. The cancelled
+		// event follows the requested event through the same queue and releases
+		// the slot in either case.
 		a.sendCancel(cancelled{id: id})
 		return errors.Wrap(errNotRun, "the caller left")
 	}
 }
 
-// finish gives back the seat and the pin of a request that ran.
+// finish releases the seat and the pin of a request that ran.
 func (a *Agent) finish(id slots.RequestID) {
-	a.seats.free(fairqueue.ID(id))
-	a.release(id)
+	a.seats.release(fairqueue.ID(id))
+	a.releaseSlot(id)
 }
 
-func (a *Agent) release(id slots.RequestID) { a.sendEnd(released{id: id}) }
+func (a *Agent) releaseSlot(id slots.RequestID) { a.sendPriority(released{id: id}) }
--- a/internal/agent/gate_test.go
+++ b/internal/agent/gate_test.go
@@ -23,7 +23,7 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// fakeEngine answers orders and completions after a virtual time.
+// fakeEngine answers orders and completions after a random virtual time.
 type fakeEngine struct {
 	mu       sync.Mutex
 	random   *rand.Rand
@@ -88,10 +88,10 @@
 	return r
 }
 
-// Callers leave at every moment: while queued, in the instant when they are
-// started, while their request runs. A pin that outlives its request would
-// hold a slot for ever, until the engine loads nothing any more.
-func TestPinsNeverOutliveTheirRequests(t *testing.T) {
+// Callers leave while queued, while being started and while their request runs.
+// A pin that remained after its request would occupy a slot forever, until the
+// engine could load no further adapter.
+func TestPinsAreReleasedWithTheirRequests(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
@@ -100,7 +100,7 @@
 			a := New(Options{Server: "s", Slots: 2, Queue: 64, LoadTimeout: time.Second, AnnounceInterval: time.Second}, &http.Client{Transport: engine}, zap.NewNop())
 			go a.runSlots(ctx)
 			go a.watchEngine(ctx)
-			go a.permits.run(ctx, a.sendEnd)
+			go a.permits.run(ctx, a.sendPriority)
 			var requests sync.WaitGroup
 			for range 100 {
 				model := fmt.Sprintf("m%d@1", random.IntN(5))
@@ -114,45 +114,46 @@
 			}
 			requests.Wait()
 			time.Sleep(time.Second)
-			a.sendEnd(ticked{})
+			a.sendPriority(ticked{})
 			synctest.Wait()
 			if load := a.status.Load(); load.Running != 0 || load.Waiting != 0 {
-				t.Errorf("seed %d: %d running and %d waiting are left", seed, load.Running, load.Waiting)
+				t.Errorf("seed %d: %d running and %d waiting requests are left", seed, load.Running, load.Waiting)
 			}
 			if engine.evicted != 0 || engine.unloaded == 0 {
-				t.Errorf("seed %d: %d of %d evictions hit a serving adapter", seed, engine.evicted, engine.unloaded)
+				t.Errorf("seed %d: %d of %d evictions hit an adapter in use", seed, engine.evicted, engine.unloaded)
 			}
 			cancel()
 		})
 	}
 }
 
-// recoverAbort ends a handler as net/http does: ErrAbortHandler cuts the
-// connection, anything else is a fault.
+// recoverAbort recovers from a handler's panic as net/http does:
+// http.ErrAbortHandler closes the connection, any other panic is a fault.
 func recoverAbort() {
 	if reason := recover(); reason != nil && reason != http.ErrAbortHandler {
 		panic(reason)
 	}
 }
 
-// The agent is told to stop, and a request arrives that an entry sent before
-// it heard. It must be refused as not run, so that the entry goes elsewhere.
-func TestALeavingAgentRefusesAsNotRun(t *testing.T) {
+// The agent is told to stop, and a request arrives from an entry that does not
+// know it yet. It must be refused as not-run, so that the entry retries on
+// another server.
+func TestLeavingAgentAnswersNotRun(t *testing.T) {
 	a := New(Options{Server: "s", Slots: 1, Queue: 1}, &http.Client{}, zap.NewNop())
 	a.Leave()
 	recorder := httptest.NewRecorder()
 	a.Handler().ServeHTTP(recorder, engineRequest(t.Context(), "m@1"))
 	if got := recorder.Header().Get(outcome.Header); got != outcome.NotRun.String() {
-		t.Errorf("told %q", got)
+		t.Errorf("outcome %q", got)
 	}
 	if left := a.Wait(t.Context()); left != 0 {
 		t.Errorf("%d requests are in flight", left)
 	}
 }
 
-// An engine that lost its adapters answers by another model. The agent must
-// not pass a byte of that on, whatever the entry checks later.
-func TestAnAnswerByAnotherModelIsNotRelayed(t *testing.T) {
+// An engine that lost its adapters answers with another model. The agent must
+// not relay any byte of that answer, even if the entry checks it too.
+func TestAnswerFromWrongModelIsNotRelayed(t *testing.T) {
 	for _, body := range []string{`{"model":"base","choices":[]}`, "data: {\"model\":\"base\"}\n\n"} {
 		engine := roundTripper(func(*http.Request) (*http.Response, error) { return engineAnswer(http.StatusOK, body), nil })
 		a := New(Options{Server: "s", Slots: 1, Queue: 1}, &http.Client{Transport: engine}, zap.NewNop())
@@ -166,7 +167,7 @@
 			return a.start(r, ref, []byte(`{}`), func() {}).answerFrom(r.Context(), 0)
 		}).ServeHTTP(recorder, r)
 		if recorder.Header().Get(outcome.Header) != outcome.Unknown.String() || strings.Contains(recorder.Body.String(), "base") {
-			t.Errorf("told %q: %s", recorder.Header().Get(outcome.Header), recorder.Body)
+			t.Errorf("outcome %q: %s", recorder.Header().Get(outcome.Header), recorder.Body)
 		}
 	}
 }
--- a/internal/agent/isolation.go
+++ b/internal/agent/isolation.go
@@ -9,31 +9,33 @@
 
 var errIsolated = errors.New("a request runs alone here")
 
-// isolation keeps the neighbours away from a request that may crash the engine.
-// Neighbours are refused, not queued, so that their entries go elsewhere.
+// isolation ensures that a request that may crash the engine runs exclusively.
+// Other requests are refused rather than queued, so that their entries send
+// them to another server.
 type isolation struct {
-	mu     sync.Mutex
-	shared int
-	alone  bool
-	// empty is closed when the last neighbour of a waiting request has left.
-	empty chan struct{}
+	mu        sync.Mutex
+	shared    int
+	exclusive bool
+	// drained is closed when no shared request is left. An exclusive request
+	// waits for it.
+	drained chan struct{}
 }
 
-// enter admits a request and returns what ends its stay. One that runs alone
-// waits until its neighbours have left or ctx ends.
-func (i *isolation) enter(ctx context.Context, alone bool) (func(), error) {
-	if !alone {
+// enter admits a request and returns the function that ends its admission. An
+// exclusive request waits until all shared requests have left or ctx ends.
+func (i *isolation) enter(ctx context.Context, exclusive bool) (func(), error) {
+	if !exclusive {
 		return i.enterShared()
 	}
-	empty, err := i.claim()
+	drained, err := i.enterExclusive()
 	if err != nil {
 		return nil, err
 	}
 	select {
-	case <-empty:
-		return i.leaveAlone, nil
+	case <-drained:
+		return i.leaveExclusive, nil
 	case <-ctx.Done():
-		i.leaveAlone()
+		i.leaveExclusive()
 		return nil, errors.Wrap(ctx.Err(), "wait for the neighbours to leave")
 	}
 }
@@ -41,7 +43,7 @@
 func (i *isolation) enterShared() (func(), error) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.alone {
+	if i.exclusive {
 		return nil, errIsolated
 	}
 	i.shared++
@@ -52,26 +54,26 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.shared--
-	if i.shared == 0 && i.alone {
-		close(i.empty)
+	if i.shared == 0 && i.exclusive {
+		close(i.drained)
 	}
 }
 
-func (i *isolation) claim() (<-chan struct{}, error) {
+func (i *isolation) enterExclusive() (<-chan struct{}, error) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.alone {
+	if i.exclusive {
 		return nil, errIsolated
 	}
-	i.alone, i.empty = true, make(chan struct{})
+	i.exclusive, i.drained = true, make(chan struct{})
 	if i.shared == 0 {
-		close(i.empty)
+		close(i.drained)
 	}
-	return i.empty, nil
+	return i.drained, nil
 }
 
-func (i *isolation) leaveAlone() {
+func (i *isolation) leaveExclusive() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.alone = false
+	i.exclusive = false
 }
--- a/internal/agent/isolation_test.go
+++ b/internal/agent/isolation_test.go
@@ -9,10 +9,11 @@
 	"github.com/pkg/errors"
 )
 
-// A suspect comes to a server that serves others, and others come while it
-// waits and runs. A neighbour that slipped in would lose its answer with the
-// suspect, and would be suspected itself.
-func TestASuspectHasNoNeighbours(t *testing.T) {
+// A suspected request reaches a server that serves other requests, and further
+// requests arrive while it waits and runs. A request that ran concurrently
+// would lose its answer if the suspect crashed the engine, and would become a
+// suspect itself.
+func TestSuspectRunsExclusively(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var i isolation
 		leave, err := i.enter(t.Context(), false)
@@ -27,19 +28,19 @@
 			}
 			admitted <- done
 		}()
-		refused := func(when string, alone bool) {
+		expectRefused := func(when string, exclusive bool) {
 			synctest.Wait()
-			if _, err := i.enter(t.Context(), alone); !errors.Is(err, errIsolated) {
-				t.Errorf("%s: another request (alone %v) got %v", when, alone, err)
+			if _, err := i.enter(t.Context(), exclusive); !errors.Is(err, errIsolated) {
+				t.Errorf("%s: another request (exclusive %v) got %v", when, exclusive, err)
 			}
 		}
-		refused("while the suspect waits", false)
-		refused("while the suspect waits", true)
+		expectRefused("while the suspect waits", false)
+		expectRefused("while the suspect waits", true)
 		if len(admitted) != 0 {
-			t.Error("the suspect runs beside a neighbour")
+			t.Error("suspect runs concurrently with another request")
 		}
 		leave()
-		refused("while the suspect runs", false)
+		expectRefused("while the suspect runs", false)
 		(<-admitted)()
 		leave, err = i.enter(t.Context(), false)
 		if err != nil {
@@ -48,11 +49,11 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if _, err := i.enter(ctx, true); err == nil {
-			t.Error("a suspect that gave up was admitted")
+			t.Error("suspect whose context ended was admitted")
 		}
 		leave()
 		if _, err := i.enter(t.Context(), false); err != nil {
-			t.Errorf("after a suspect that gave up: %v", err)
+			t.Errorf("after a suspect whose context ended: %v", err)
 		}
 	})
 }
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -15,29 +15,29 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// maxReportBytes bounds what is read of an engine's answer to an order.
+// maxReportBytes is the maximum number of bytes read from an engine's response.
 const maxReportBytes = 1 << 20
 
-// engineReport is the engine's answer at /load.
+// engineReport is the engine's response to GET /load.
 type engineReport struct {
 	Incarnation uint64   `json:"incarnation"`
 	Running     int      `json:"running"`
 	Waiting     int      `json:"waiting"`
 	Capacity    int      `json:"capacity"`
 	Adapters    []string `json:"adapters"`
-	// InUse lists the adapters that serve requests; an engine that does not
-	// tell leaves it nil.
+	// InUse lists the adapters that serve requests. It is nil if the engine
+	// does not report them.
 	InUse []string `json:"inUse"`
 }
 
-// orderClient gives orders to an engine.
+// orderClient sends orders to an engine.
 type orderClient struct {
 	base    string
 	client  *http.Client
 	timeout time.Duration
 	fencing *fencingNumber
-	// superseded is called when the engine refuses the fencing number.
-	superseded func()
+	// onSuperseded is called when the engine refuses the fencing number.
+	onSuperseded func()
 }
 
 type adapterOrder struct {
@@ -70,7 +70,8 @@
 	}
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(wire.HeaderFencing, strconv.FormatUint(number, 10))
-	// A late second answer to a report must not pass for the order's.
+	// The connection is not reused, so that a late duplicate of a report
+	// response is not taken for the response to this order.
 	request.Close = true
 	response, err := c.client.Do(request)
 	if err != nil {
@@ -78,29 +79,31 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode == http.StatusPreconditionFailed {
-		c.superseded()
+		c.onSuperseded()
 	}
 	if response.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(response.Body, maxReportBytes))
-		return &orderRefused{status: response.StatusCode, text: string(bytes.TrimSpace(text))}
+		return &orderRefusedError{status: response.StatusCode, text: string(bytes.TrimSpace(text))}
 	}
 	return nil
 }
 
-// orderRefused is the engine's own word that it did not carry out an order.
-// Any other error leaves open whether it did or will.
-type orderRefused struct {
+// orderRefusedError is returned if the engine answered that it did not carry
+// out an order. After any other error the order may have been carried out or
+// may still be.
+type orderRefusedError struct {
 	status int
 	text   string
 }
 
-func (e *orderRefused) Error() string {
+func (e *orderRefusedError) Error() string {
 	return "engine answered " + strconv.Itoa(e.status) + ": " + e.text
 }
 
-// refusedBy reports the status with which the engine refused an order, or 0.
-func refusedBy(err error) int {
-	var refused *orderRefused
+// refusalStatus returns the HTTP status with which the engine refused an order,
+// or 0 if err is not such a refusal.
+func refusalStatus(err error) int {
+	var refused *orderRefusedError
 	if errors.As(err, &refused) {
 		return refused.status
 	}
--- a/internal/agent/permits.go
+++ b/internal/agent/permits.go
@@ -23,23 +23,25 @@
 )
 
 const (
-	// syncWait is how long the broker may hold a report until a permit is free.
-	syncWait = 300 * time.Millisecond
-	// syncTimeout is how much longer a report may take before the broker
-	// counts as cut off.
-	syncTimeout = 300 * time.Millisecond
-	// renewInterval is the time between reports while something is held.
+	// longPollWait is how long the broker may delay its reply to a report until
+	// a permit is free.
+	longPollWait = 300 * time.Millisecond
+	// callTimeout is the time that a report may take beyond longPollWait before
+	// the broker counts as unreachable.
+	callTimeout = 300 * time.Millisecond
+	// renewInterval is the time between reports while a permit is held.
 	renewInterval = time.Second
-	// brokerPause is how long a broker that failed is left alone.
-	brokerPause = 3 * time.Second
-	// localLimit is the most loads that an agent starts by itself while no
-	// broker answers: with one each, a site's agents together pass the weight
-	// store's knee, but only a few times over, and loads get slower, not lost.
-	localLimit = 1
+	// brokerBackoff is how long a broker is not called after a failed call.
+	brokerBackoff = 3 * time.Second
+	// maxLocalLoads is the maximum number of loads that an agent has in
+	// progress without a permit while no broker answers. With one load each,
+	// the agents of a site together exceed the saturation point of the weight
+	// store, but only a few times over: loads become slower but do not fail.
+	maxLocalLoads = 1
 )
 
-// permitClient gets permits to load from the site's load broker. The slot duty
-// changes what is wanted; the permit duty reports it.
+// permitClient obtains load permits from the site's load broker. The slot duty
+// updates the wanted permits and the permit duty reports them.
 type permitClient struct {
 	agent       string
 	incarnation uint64
@@ -50,7 +52,7 @@
 	mu       sync.Mutex
 	wanted   []slots.Ask
 	held     map[slots.OrderID]time.Time
-	ended    []broker.Finished
+	finished []broker.Finished
 	sequence uint64
 }
 
@@ -65,10 +67,10 @@
 	}
 }
 
-// brokerOrder is the order in which all agents of a site try the control
-// instances as brokers: the first that answers serves. Agents that are cut off
-// from different instances may use two brokers for a while; each then sees the
-// loads get slower and narrows its window.
+// brokerOrder returns the order in which all agents of a site try the control
+// instances as brokers. The first one that answers is used. Agents that are
+// partitioned from different instances may temporarily use two brokers. Each
+// broker then observes slower loads and narrows its window.
 func brokerOrder(peers []string) []string {
 	ordered := slices.Clone(peers)
 	slices.SortFunc(ordered, func(a, b string) int {
@@ -87,10 +89,10 @@
 	}
 }
 
-// ask requests a permit, or updates the request.
-func (p *permitClient) ask(a slots.Ask) {
+// request requests a permit, or updates an earlier request for the same order.
+func (p *permitClient) request(a slots.Ask) {
 	p.update(func() {
-		i := slices.IndexFunc(p.wanted, func(known slots.Ask) bool { return known.Order == a.Order })
+		i := slices.IndexFunc(p.wanted, func(other slots.Ask) bool { return other.Order == a.Order })
 		if i >= 0 {
 			p.wanted[i] = a
 			return
@@ -99,42 +101,43 @@
 	})
 }
 
-// holding reports that a permitted load begins.
-func (p *permitClient) holding(order slots.OrderID) {
+// loadStarted reports that a permitted load has started.
+func (p *permitClient) loadStarted(order slots.OrderID) {
 	p.update(func() {
-		p.forgetWanted(order)
+		p.removeWanted(order)
 		p.held[order] = time.Now()
 	})
 }
 
-// finished reports that a load succeeded; its time teaches the broker.
-func (p *permitClient) finished(order slots.OrderID) {
+// loadFinished reports that a load succeeded. The broker adjusts its window by
+// the load's duration.
+func (p *permitClient) loadFinished(order slots.OrderID) {
 	p.update(func() {
 		if began, ok := p.held[order]; ok {
-			p.ended = append(p.ended, broker.Finished{Order: uint64(order), Took: time.Since(began)})
+			p.finished = append(p.finished, broker.Finished{Order: uint64(order), Took: time.Since(began)})
 		}
 		delete(p.held, order)
 	})
 }
 
-// giveBack ends a request for a permit, or the permit.
-func (p *permitClient) giveBack(order slots.OrderID) {
+// release withdraws a request for a permit or returns the permit.
+func (p *permitClient) release(order slots.OrderID) {
 	p.update(func() {
-		p.forgetWanted(order)
+		p.removeWanted(order)
 		delete(p.held, order)
 	})
 }
 
-func (p *permitClient) forgetWanted(order slots.OrderID) {
+func (p *permitClient) removeWanted(order slots.OrderID) {
 	p.wanted = slices.DeleteFunc(p.wanted, func(a slots.Ask) bool { return a.Order == order })
 }
 
-// report is the next message, and whether it says anything.
+// report returns the next message to the broker and whether it has any content.
 func (p *permitClient) report() (wire.Loads, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sequence++
-	r := broker.Report{Agent: p.agent, Incarnation: p.incarnation, Finished: p.ended}
+	r := broker.Report{Agent: p.agent, Incarnation: p.incarnation, Finished: p.finished}
 	for _, a := range p.wanted {
 		r.Wanted = append(r.Wanted, broker.Want{Order: uint64(a.Order), Demand: a.Demand, Waited: time.Since(a.Since)})
 	}
@@ -144,30 +147,31 @@
 	slices.Sort(r.Held)
 	wait := time.Duration(0)
 	if len(r.Wanted) > 0 {
-		wait = syncWait
+		wait = longPollWait
 	}
 	return wire.Loads{Report: r, Sequence: p.sequence, WaitMillis: wait.Milliseconds()}, len(r.Wanted)+len(r.Held)+len(r.Finished) > 0
 }
 
-// run reports to the broker whenever something changed, and grants loads
-// itself while no broker answers. A report that waits for a permit does not
-// hold the next one up: the broker answers the older at once when a newer comes.
+// run reports to the broker after every change, and grants loads itself while
+// no broker answers. A report that waits for a permit does not delay the next
+// one: the broker answers the older report immediately when a newer one
+// arrives.
 func (p *permitClient) run(ctx context.Context, send func(event)) {
 	brokers := make([]*brokerPeer, 0, len(p.peers))
 	for _, address := range p.peers {
 		brokers = append(brokers, &brokerPeer{client: rpc.NewClient(address, p.rpc...)})
 	}
 	var exchanges sync.WaitGroup
-	free := make(chan struct{}, maxExchanges)
-	said := false
+	tokens := make(chan struct{}, maxExchanges)
+	lastHadContent := false
 	for ctx.Err() == nil {
-		report, something := p.report()
-		if something || said {
-			said = something
-			free <- struct{}{}
+		report, hasContent := p.report()
+		if hasContent || lastHadContent {
+			lastHadContent = hasContent
+			tokens <- struct{}{}
 			exchanges.Go(func() {
 				p.exchange(ctx, brokers, report, send)
-				<-free
+				<-tokens
 			})
 		}
 		p.awaitChange(ctx, len(report.Report.Wanted) > 0)
@@ -178,15 +182,15 @@
 	exchanges.Wait()
 }
 
-// maxExchanges is the most reports under way at once.
+// maxExchanges is the maximum number of reports in flight.
 const maxExchanges = 2
 
-// awaitChange returns when there is news to report, a request to repeat or a
-// lease to renew.
-func (p *permitClient) awaitChange(ctx context.Context, wanting bool) {
+// awaitChange returns when there is a change to report, a request to repeat or
+// a lease to renew.
+func (p *permitClient) awaitChange(ctx context.Context, waiting bool) {
 	pause := renewInterval
-	if wanting {
-		pause = syncWait
+	if waiting {
+		pause = longPollWait
 	}
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
@@ -197,55 +201,55 @@
 	}
 }
 
-// brokerPeer is a control instance that may serve as broker.
+// brokerPeer is a control instance that may act as the broker.
 type brokerPeer struct {
 	client *rpc.Client
-	// pausedUntil is in nanoseconds since 1970.
-	pausedUntil atomic.Int64
+	// backoffUntil is the end of the backoff in Unix nanoseconds.
+	backoffUntil atomic.Int64
 }
 
 func (p *permitClient) exchange(ctx context.Context, brokers []*brokerPeer, report wire.Loads, send func(event)) {
 	for _, b := range brokers {
-		if time.Now().UnixNano() < b.pausedUntil.Load() {
+		if time.Now().UnixNano() < b.backoffUntil.Load() {
 			continue
 		}
-		reply, err := call(ctx, b.client, report)
+		reply, err := callBroker(ctx, b.client, report)
 		if err != nil {
-			b.pausedUntil.Store(time.Now().Add(brokerPause).UnixNano())
+			b.backoffUntil.Store(time.Now().Add(brokerBackoff).UnixNano())
 			continue
 		}
-		p.forgetReported(report.Report.Finished)
+		p.removeFinished(report.Report.Finished)
 		for _, order := range reply.Granted {
 			permitCount.Add(1)
 			p.grant(slots.OrderID(order), send)
 		}
 		return
 	}
-	p.forgetReported(report.Report.Finished)
+	p.removeFinished(report.Report.Finished)
 	p.grantLocally(send)
 }
 
-func call(ctx context.Context, client *rpc.Client, report wire.Loads) (wire.LoadsReply, error) {
+func callBroker(ctx context.Context, client *rpc.Client, report wire.Loads) (wire.LoadsReply, error) {
 	wait := time.Duration(report.WaitMillis) * time.Millisecond
-	ctx, cancel := context.WithTimeout(ctx, wait+syncTimeout)
+	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
 	var reply wire.LoadsReply
 	err := client.Call(ctx, wire.MethodLoads, report, &reply)
 	return reply, err
 }
 
-// forgetReported forgets the finished loads that were reported.
-func (p *permitClient) forgetReported(finished []broker.Finished) {
+// removeFinished removes the finished loads that have been reported.
+func (p *permitClient) removeFinished(finished []broker.Finished) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ended = slices.DeleteFunc(slices.Clone(p.ended), func(f broker.Finished) bool { return slices.Contains(finished, f) })
+	p.finished = slices.DeleteFunc(slices.Clone(p.finished), func(f broker.Finished) bool { return slices.Contains(finished, f) })
 }
 
-// grant passes a permit on to the slot duty, once.
+// grant passes a permit to the slot duty. It ignores duplicate grants.
 func (p *permitClient) grant(order slots.OrderID, send func(event)) {
 	p.mu.Lock()
 	wanted := slices.ContainsFunc(p.wanted, func(a slots.Ask) bool { return a.Order == order })
-	p.forgetWanted(order)
+	p.removeWanted(order)
 	if wanted {
 		p.held[order] = time.Now()
 	}
@@ -257,8 +261,8 @@
 
 func (p *permitClient) grantLocally(send func(event)) {
 	p.mu.Lock()
-	free := localLimit - len(p.held)
-	orders := make([]slots.OrderID, 0, localLimit)
+	free := maxLocalLoads - len(p.held)
+	orders := make([]slots.OrderID, 0, maxLocalLoads)
 	for i := 0; i < len(p.wanted) && i < free; i++ {
 		orders = append(orders, p.wanted[i].Order)
 	}
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -23,58 +23,62 @@
 )
 
 var (
-	// wrongModelCount counts answers that the engine gave by another model
-	// than the request asked for; they are never relayed.
-	wrongModelCount  = telemetry.Counter("agent_wrong_model")
-	resumedCount     = telemetry.Counter("agent_answers_resumed")
-	abandonedCount   = telemetry.Counter("agent_answers_abandoned")
-	cancelledCount   = telemetry.Counter("agent_answers_cancelled")
-	engineFailCount  = telemetry.Counter("agent_engine_failures")
-	errEngineStopped = errors.New("the engine's answer ended early")
+	// wrongModelCount counts answers from a model other than the requested one.
+	// They are never relayed.
+	wrongModelCount    = telemetry.Counter("agent_wrong_model")
+	resumedCount       = telemetry.Counter("agent_answers_resumed")
+	abandonedCount     = telemetry.Counter("agent_answers_abandoned")
+	cancelledCount     = telemetry.Counter("agent_answers_cancelled")
+	engineFailCount    = telemetry.Counter("agent_engine_failures")
+	errAnswerTruncated = errors.New("the engine's answer ended early")
 )
 
-// reattachLease is how long a request runs on without a reader. An entry that
-// lost its connection is back within a few round trips; a caller that left is
-// reported by its entry, and the lease ends the work when that report is lost.
+// reattachLease is how long a request continues without a reader. An entry that
+// lost its connection reconnects within a few round trips. If a caller leaves,
+// its entry cancels the request; the lease ends the work if that message is
+// lost.
 const reattachLease = 2 * time.Second
 
-// run is one request at the engine. It outlives the connection that brought it,
-// so that an answer cut between entry and agent goes on where it stopped.
+// run is one request at the engine. It is independent of the connection on
+// which it arrived, so that an answer interrupted between entry and agent can
+// be resumed at the same offset.
 type run struct {
 	request string
 	ref     catalogue.Ref
-	// fingerprint identifies the request when it is suspected of a crash;
-	// epoch and incarnation are those of the engine when it began.
+	// fingerprint identifies the request if it is suspected of a crash. epoch
+	// and incarnation are those of the engine when the request started.
 	fingerprint suspicion.Fingerprint
 	epoch       uint64
 	incarnation uint64
 	cancel      context.CancelFunc
-	// kept is the part of the answer that is kept.
-	kept *window
+	// window holds the retained part of the answer.
+	window *window
 	// ready is closed when head is set.
 	ready chan struct{}
 	head  runHead
 
 	mu      sync.Mutex
 	readers int
-	// lease ends the run when it has no reader.
+	// lease ends the run when it has had no reader for reattachLease.
 	lease *time.Timer
 }
 
-// runHead is what precedes an answer's body.
+// runHead is the part of an answer that precedes its body.
 type runHead struct {
-	said    outcome.Outcome
+	outcome outcome.Outcome
 	status  int
 	header  http.Header
 	trailer http.Header
-	// length is the body's as the engine declared it, in bytes, below 0 for none.
+	// length is the body length declared by the engine, in bytes, or negative
+	// if none was declared.
 	length  int64
 	message string
-	// crashed is true when the engine crashed with the request on it.
+	// crashed is true if the engine crashed while it ran the request.
 	crashed bool
 }
 
-// runs are the requests at the engine, and for a lease those that ended.
+// runs holds the requests at the engine and, for the duration of a lease, those
+// that have ended.
 type runs struct {
 	mu   sync.Mutex
 	byID map[string]*run
@@ -82,13 +86,13 @@
 
 func newRuns() *runs { return &runs{byID: make(map[string]*run)} }
 
-// add makes r the run of its id. An entry that sends a request again has given
-// up the one before, which is cancelled.
+// add registers r under its request ID. An entry that sends a request again has
+// abandoned the previous run, which is cancelled.
 func (s *runs) add(r *run) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if before, ok := s.byID[r.request]; ok {
-		before.cancel()
+	if previous, ok := s.byID[r.request]; ok {
+		previous.cancel()
 	}
 	s.byID[r.request] = r
 }
@@ -108,7 +112,7 @@
 	}
 }
 
-// start sends a request whose adapter is pinned to the engine.
+// start sends a request to the engine. The request's adapter must be pinned.
 func (a *Agent) start(r *http.Request, ref catalogue.Ref, body []byte, done func()) *run {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(r.Context()))
 	request := r.Header.Get(wire.HeaderRequestID)
@@ -116,7 +120,7 @@
 		request = uuid.NewString()
 	}
 	started := &run{
-		request: request, ref: ref, cancel: cancel, kept: newWindow(), ready: make(chan struct{}),
+		request: request, ref: ref, cancel: cancel, window: newWindow(), ready: make(chan struct{}),
 		fingerprint: suspicion.Fingerprint(r.Header.Get(wire.HeaderFingerprint)),
 		epoch:       a.crashes.current(),
 		incarnation: a.incarnation.Load(),
@@ -129,12 +133,12 @@
 		defer a.gate.Leave()
 		defer done()
 		defer cancel()
-		a.engage(ctx, started, r, body)
+		a.execute(ctx, started, r, body)
 	}()
 	return started
 }
 
-// abandon ends a run that has had no reader for a lease.
+// abandon ends a run that has had no reader for the time of a lease.
 func (a *Agent) abandon(r *run) {
 	a.runs.remove(r)
 	if r.ended() {
@@ -144,50 +148,51 @@
 	r.cancel()
 }
 
-// engage carries the engine's answer into the run's window.
-func (a *Agent) engage(ctx context.Context, started *run, r *http.Request, body []byte) {
+// execute sends the request to the engine and copies the answer into the run's
+// window.
+func (a *Agent) execute(ctx context.Context, started *run, r *http.Request, body []byte) {
 	ctx, span := telemetry.StartClient(ctx, telemetry.SpanAgentEngine)
 	defer span.End()
-	response, err := a.ask(ctx, r, body)
+	response, err := a.callEngine(ctx, r, body)
 	if err != nil {
-		a.failed(ctx, started, outcome.Decide(outcome.Evidence{Sent: relay.Sent(err)}))
+		a.failUnanswered(ctx, started, outcome.Decide(outcome.Evidence{Sent: relay.Sent(err)}))
 		return
 	}
 	defer response.Body.Close()
 	if response.StatusCode == http.StatusNotFound {
-		a.sendEnd(adapterLost{ref: started.ref})
+		a.sendPriority(adapterLost{ref: started.ref})
 		started.refuse("the engine lost the adapter")
 		return
 	}
-	answer := io.Reader(response.Body)
+	content := io.Reader(response.Body)
 	if succeeded := response.StatusCode < http.StatusBadRequest; succeeded {
-		ran, whole, err := relay.PeekModel(response.Body)
+		model, full, err := relay.PeekModel(response.Body)
 		if err != nil {
-			a.failed(ctx, started, outcome.Unknown)
+			a.failUnanswered(ctx, started, outcome.Unknown)
 			return
 		}
-		if ran != started.ref.String() {
+		if model != started.ref.String() {
 			wrongModelCount.Add(1)
-			started.noAnswer(outcome.Unknown, false)
+			started.finishUnanswered(outcome.Unknown, false)
 			return
 		}
-		answer = whole
-		response.Header.Set(wire.HeaderRan, ran)
+		content = full
+		response.Header.Set(wire.HeaderRan, model)
 	}
-	started.setHead(runHead{said: outcome.Answered, status: response.StatusCode, header: response.Header, length: response.ContentLength})
-	if err := started.pump(ctx, relay.VerifyEnd(response, answer), response); err != nil {
-		a.cut(ctx, started)
+	started.setHead(runHead{outcome: outcome.Answered, status: response.StatusCode, header: response.Header, length: response.ContentLength})
+	if err := started.pump(ctx, relay.VerifyEnd(response, content), response); err != nil {
+		a.failTruncated(ctx, started)
 	}
 }
 
-// failed ends a run that has no answer to relay.
-func (a *Agent) failed(ctx context.Context, r *run, said outcome.Outcome) {
-	crashed := said != outcome.NotRun && a.engineCrashed(ctx, r)
-	r.noAnswer(said, crashed)
+// failUnanswered ends a run without an answer to relay.
+func (a *Agent) failUnanswered(ctx context.Context, r *run, result outcome.Outcome) {
+	crashed := result != outcome.NotRun && a.engineCrashed(ctx, r)
+	r.finishUnanswered(result, crashed)
 }
 
-// cut ends a run whose answer broke off.
-func (a *Agent) cut(ctx context.Context, r *run) {
+// failTruncated ends a run with an answer that was truncated.
+func (a *Agent) failTruncated(ctx context.Context, r *run) {
 	if ctx.Err() == nil {
 		engineFailCount.Add(1)
 	}
@@ -195,38 +200,39 @@
 	r.mu.Lock()
 	r.head.crashed = crashed
 	r.mu.Unlock()
-	r.kept.finish(errEngineStopped)
+	r.window.finish(errAnswerTruncated)
 }
 
-func (a *Agent) ask(ctx context.Context, r *http.Request, body []byte) (*http.Response, error) {
+func (a *Agent) callEngine(ctx context.Context, r *http.Request, body []byte) (*http.Response, error) {
 	request, err := relay.NewRequest(ctx, r.Method, a.options.Engine+r.URL.Path, bytes.NewReader(body), int64(len(body)))
 	if err != nil {
 		return nil, err
 	}
 	relay.CopyHeader(request.Header, r.Header)
-	// A compressed answer would hide the model that it names.
+	// In a compressed answer the model name could not be checked.
 	request.Header.Del("Accept-Encoding")
-	// Engines name no request in their answers. One that comes late a second time
-	// must find no other request waiting on its connection.
+	// Engines do not identify the request in their answers. The connection is
+	// not reused, so that a late duplicate of an answer is not taken for the
+	// answer to another request.
 	request.Close = true
 	telemetry.Inject(ctx, request.Header)
 	return a.client.Do(request)
 }
 
-// pump copies the answer into the window until its end, or returns what broke
-// it off.
-func (r *run) pump(ctx context.Context, answer io.Reader, response *http.Response) error {
-	buffer := make([]byte, pumpBuffer)
+// pump copies the answer into the window until its end. It returns the error
+// that interrupted it.
+func (r *run) pump(ctx context.Context, content io.Reader, response *http.Response) error {
+	buffer := make([]byte, pumpBufferSize)
 	for {
-		n, err := answer.Read(buffer)
+		n, err := content.Read(buffer)
 		if n > 0 {
-			if err := r.kept.append(ctx, buffer[:n]); err != nil {
+			if err := r.window.append(ctx, buffer[:n]); err != nil {
 				return err
 			}
 		}
 		if err == io.EOF {
 			r.setTrailer(response.Trailer)
-			r.kept.finish(nil)
+			r.window.finish(nil)
 			return nil
 		}
 		if err != nil {
@@ -235,8 +241,8 @@
 	}
 }
 
-// pumpBuffer is how much of an answer one read may carry, in bytes.
-const pumpBuffer = 8 << 10
+// pumpBufferSize is the maximum number of bytes of an answer copied per read.
+const pumpBufferSize = 8 << 10
 
 func (r *run) setHead(head runHead) {
 	r.head = head
@@ -249,38 +255,38 @@
 	r.head.trailer = trailer
 }
 
-// noAnswer ends a run that the engine did not answer.
-func (r *run) noAnswer(said outcome.Outcome, crashed bool) {
-	if said == outcome.NotRun {
+// finishUnanswered ends a run that the engine did not answer.
+func (r *run) finishUnanswered(result outcome.Outcome, crashed bool) {
+	if result == outcome.NotRun {
 		r.refuse("the engine cannot be reached")
 		return
 	}
 	unknownCount.Add(1)
-	r.kept.finish(errEngineStopped)
-	r.setHead(runHead{said: outcome.Unknown, status: http.StatusBadGateway, message: "the engine gave no usable answer", crashed: crashed})
+	r.window.finish(errAnswerTruncated)
+	r.setHead(runHead{outcome: outcome.Unknown, status: http.StatusBadGateway, message: "the engine gave no usable answer", crashed: crashed})
 }
 
 func (r *run) refuse(message string) {
 	refusedCount.Add(1)
-	r.kept.finish(errEngineStopped)
-	r.setHead(runHead{said: outcome.NotRun, status: http.StatusServiceUnavailable, message: message})
+	r.window.finish(errAnswerTruncated)
+	r.setHead(runHead{outcome: outcome.NotRun, status: http.StatusServiceUnavailable, message: message})
 }
 
 func (r *run) ended() bool {
-	r.kept.mu.Lock()
-	defer r.kept.mu.Unlock()
-	return r.kept.done
+	r.window.mu.Lock()
+	defer r.window.mu.Unlock()
+	return r.window.done
 }
 
-// enter and leave count the connections that read the run's answer.
-func (r *run) enter() {
+// addReader and removeReader count the connections that read the run's answer.
+func (r *run) addReader() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.readers++
 	r.lease.Stop()
 }
 
-func (r *run) leave() {
+func (r *run) removeReader() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.readers--
@@ -289,30 +295,31 @@
 	}
 }
 
-// answerFrom is a run's answer from an offset on. It is none when ctx, that of
-// its reader, ends first; where the engine's answer ends early it is cut.
+// answerFrom returns a run's answer from an offset on. It returns the zero
+// Answer if ctx, the reader's context, ends before the head is available. If
+// the engine's answer is truncated, the returned answer is cut.
 func (r *run) answerFrom(ctx context.Context, offset int64) answer.Answer {
-	r.enter()
+	r.addReader()
 	select {
 	case <-r.ready:
 	case <-ctx.Done():
-		r.leave()
+		r.removeReader()
 		return answer.Answer{}
 	}
-	if r.head.said != outcome.Answered {
-		r.leave()
+	if r.head.outcome != outcome.Answered {
+		r.removeReader()
 		return r.head.unanswered()
 	}
-	reader, err := r.kept.attach(offset)
+	reader, err := r.window.attach(offset)
 	if err != nil {
-		r.leave()
-		return r.notKept(err)
+		r.removeReader()
+		return r.answerGone(err)
 	}
 	header := make(http.Header)
 	relay.CopyHeader(header, r.head.header)
 	header.Set(outcome.Header, outcome.Answered.String())
 	stream := answer.Stream(r.head.status, header, func(pass answer.Pass) answer.End {
-		defer r.leave()
+		defer r.removeReader()
 		return r.feed(ctx, reader, offset, pass)
 	})
 	if r.head.length < 0 {
@@ -321,11 +328,11 @@
 	return stream.WithLength(r.head.length - offset)
 }
 
-// feed passes on what the window holds from an offset on, as it comes.
+// feed passes the content of the window from an offset on as it arrives.
 func (r *run) feed(ctx context.Context, reader uint64, offset int64, pass answer.Pass) answer.End {
-	buffer := make([]byte, pumpBuffer)
+	buffer := make([]byte, pumpBufferSize)
 	for {
-		n, err := r.kept.next(ctx, reader, offset, buffer)
+		n, err := r.window.next(ctx, reader, offset, buffer)
 		if err == io.EOF {
 			return answer.Complete(r.trailer())
 		}
@@ -342,38 +349,40 @@
 	return r.head.trailer
 }
 
-// notKept answers for a part of the answer that cannot be had any more.
-func (r *run) notKept(err error) answer.Answer {
+// answerGone returns the answer to a request for a part that is no longer
+// retained.
+func (r *run) answerGone(err error) answer.Answer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	head := runHead{said: outcome.Unknown, status: http.StatusGone, message: err.Error(), crashed: r.head.crashed}
+	head := runHead{outcome: outcome.Unknown, status: http.StatusGone, message: err.Error(), crashed: r.head.crashed}
 	return head.unanswered()
 }
 
-// unanswered tells an entry what became of a request without its answer.
+// unanswered returns the response that tells an entry the outcome of a request
+// without an answer.
 func (h runHead) unanswered() answer.Answer {
-	header := http.Header{outcome.Header: {h.said.String()}}
+	header := http.Header{outcome.Header: {h.outcome.String()}}
 	if h.crashed {
 		header.Set(wire.HeaderCrashed, "true")
 	}
 	return answer.Text(h.status, header, h.message)
 }
 
-// resume serves an entry whose connection was cut: the rest of its answer.
+// resume serves the rest of an answer to an entry that lost its connection.
 func (a *Agent) resume(r *http.Request) answer.Answer {
 	offset, err := strconv.ParseInt(r.URL.Query().Get(wire.QueryOffset), 10, 64)
 	if err != nil || offset < 0 {
-		return runHead{said: outcome.Unknown, status: http.StatusBadRequest, message: "an offset is required"}.unanswered()
+		return runHead{outcome: outcome.Unknown, status: http.StatusBadRequest, message: "an offset is required"}.unanswered()
 	}
 	found, ok := a.runs.get(chi.URLParam(r, "request"))
 	if !ok {
-		return runHead{said: outcome.Unknown, status: http.StatusNotFound, message: "no such request"}.unanswered()
+		return runHead{outcome: outcome.Unknown, status: http.StatusNotFound, message: "no such request"}.unanswered()
 	}
 	resumedCount.Add(1)
 	return found.answerFrom(r.Context(), offset)
 }
 
-// cancelRun ends a request whose caller left.
+// cancelRun ends a request after its caller has left.
 func (a *Agent) cancelRun(r *http.Request) answer.Answer {
 	found, ok := a.runs.get(chi.URLParam(r, "request"))
 	if ok {
--- a/internal/agent/seats.go
+++ b/internal/agent/seats.go
@@ -25,31 +25,34 @@
 )
 
 const (
-	// seatSpare is one request more than the engine batches, for so many of
-	// its capacity: the next one is at hand when one ends.
-	seatSpare = 8
-	// headStart is the cost by which one step of priority may run ahead of
-	// its share, in tokens, maxHeadStart the most by any.
+	// spareSeatDivisor sets the number of seats beyond the engine's capacity:
+	// one for each spareSeatDivisor requests of capacity, but at least one.
+	// With a spare request at the engine, the next one is available as soon as
+	// one ends.
+	spareSeatDivisor = 8
+	// headStart is the cost, in tokens, by which each priority level may exceed
+	// its share. maxHeadStart is the maximum for any priority.
 	headStart    = 32
 	maxHeadStart = 1024
-	// defaultMaxWait and defaultCost stand in when an entry sends none.
+	// defaultMaxWait and defaultCost are used if an entry sends no values.
 	defaultMaxWait = 30 * time.Second
 	defaultCost    = 256
-	// rateInterval is the time over which the rate of service is measured.
+	// rateInterval is the interval over which the service rate is measured.
 	rateInterval = time.Second
-	// rateGain is the weight of a new measurement.
+	// rateGain is the weight of a new measurement in the moving average.
 	rateGain = 0.3
 )
 
-// seats are the places in the engine's batch. When they are all taken, requests
-// wait here in weighted fair order instead of in the engine's queue, which
-// knows no contracts.
+// seats manages the places in the engine's batch. If all are taken, requests
+// wait here in weighted fair order rather than in the engine's queue, which
+// does not know the contracts.
 type seats struct {
 	events chan seatEvent
-	// capacity is how many requests the engine batches, 0 while unknown.
+	// capacity returns the number of requests that the engine batches, or 0
+	// while it is unknown.
 	capacity func() int
 	limit    int
-	// stopped is closed when the duty has ended and reads no ring.
+	// stopped is closed when the duty has ended and no longer reads events.
 	stopped chan struct{}
 }
 
@@ -64,33 +67,36 @@
 
 type seatEvent interface{ apply(*seatDuty, time.Time) }
 
-type seatAsked struct {
+type seatRequested struct {
 	item  fairqueue.Item
 	reply chan<- fairqueue.Refusal
 }
 
-// seatDone ends a wait or frees a seat, whichever the request has.
-type seatDone struct{ id fairqueue.ID }
+// seatReleased removes a request from the queue or releases its seat, depending
+// on which of them the request has.
+type seatReleased struct{ id fairqueue.ID }
 
-// granted is the reply to a request that has a seat.
-var granted = fairqueue.Refusal{}
+// seatGranted is the reply to a request that got a seat.
+var seatGranted = fairqueue.Refusal{}
 
 var errSeatsFull = errors.New("too many requests wait at this server")
 
-// waitError is the end of a wait that the contract bounds.
+// waitError means that the contract's maximum wait ended a request's wait.
 type waitError struct {
 	reason fairqueue.Reason
-	// retryAfter is when the contract's backlog will have been served here.
+	// retryAfter is the time until the contract's backlog is expected to be
+	// served here.
 	retryAfter time.Duration
 }
 
 func (e *waitError) Error() string { return "the contract's longest wait: " + string(e.reason) }
 
-// take waits for a seat until ctx ends. A nil error means that free must follow.
-func (s *seats) take(ctx context.Context, item fairqueue.Item) error {
+// acquire waits for a seat until ctx ends. If it returns nil, the caller must
+// call release.
+func (s *seats) acquire(ctx context.Context, item fairqueue.Item) error {
 	reply := make(chan fairqueue.Refusal, 1)
 	select {
-	case s.events <- seatAsked{item: item, reply: reply}:
+	case s.events <- seatRequested{item: item, reply: reply}:
 	default:
 		seatFullCount.Add(1)
 		return errSeatsFull
@@ -99,15 +105,15 @@
 	case refusal := <-reply:
 		return seatError(refusal)
 	case <-ctx.Done():
-		// A seat may have been given meanwhile: this frees it.
-		s.free(item.ID)
+		// A seat may have been granted in the meantime. It is released here.
+		s.release(item.ID)
 		return errors.Wrap(ctx.Err(), "wait for a seat")
 	}
 }
 
 func seatError(refusal fairqueue.Refusal) error {
 	switch refusal.Reason {
-	case granted.Reason:
+	case seatGranted.Reason:
 		return nil
 	case fairqueue.ReasonFull:
 		return errSeatsFull
@@ -116,36 +122,36 @@
 	}
 }
 
-// free waits when the ring is full: a seat that is not given back is lost. The
-// duty waits for nobody, so this ends.
-func (s *seats) free(id fairqueue.ID) {
+// release blocks while the event queue is full, because a seat that is not
+// released is lost. The duty never blocks, so the wait ends.
+func (s *seats) release(id fairqueue.ID) {
 	select {
-	case s.events <- seatDone{id}:
+	case s.events <- seatReleased{id}:
 	case <-s.stopped:
 	}
 }
 
-// seatDuty owns the seats; no other goroutine touches them.
+// seatDuty owns the seats. No other goroutine accesses them.
 type seatDuty struct {
 	*seats
 	queue   *fairqueue.Queue
 	replies map[fairqueue.ID]chan<- fairqueue.Refusal
-	taken   map[fairqueue.ID]float64
-	// served is the cost of the requests that ended since measured.
-	served   float64
-	measured time.Time
-	rate     float64
+	inUse   map[fairqueue.ID]float64
+	// servedCost is the cost of the requests that have ended since measuredAt.
+	servedCost float64
+	measuredAt time.Time
+	rate       float64
 }
 
-// run gives seats until ctx ends.
+// run grants seats until ctx ends.
 func (s *seats) run(ctx context.Context) {
 	defer close(s.stopped)
 	d := &seatDuty{
-		seats:    s,
-		queue:    fairqueue.New(fairqueue.Options{Limit: s.limit, HeadStart: headStart, MaxHeadStart: maxHeadStart}),
-		replies:  make(map[fairqueue.ID]chan<- fairqueue.Refusal),
-		taken:    make(map[fairqueue.ID]float64),
-		measured: time.Now(),
+		seats:      s,
+		queue:      fairqueue.New(fairqueue.Options{Limit: s.limit, HeadStart: headStart, MaxHeadStart: maxHeadStart}),
+		replies:    make(map[fairqueue.ID]chan<- fairqueue.Refusal),
+		inUse:      make(map[fairqueue.ID]float64),
+		measuredAt: time.Now(),
 	}
 	timer := time.NewTimer(rateInterval)
 	defer timer.Stop()
@@ -165,7 +171,7 @@
 	}
 }
 
-func (e seatAsked) apply(d *seatDuty, now time.Time) {
+func (e seatRequested) apply(d *seatDuty, now time.Time) {
 	d.replies[e.item.ID] = e.reply
 	if d.queue.Len() == 0 && d.hasFree() {
 		d.grant(e.item)
@@ -177,21 +183,21 @@
 	}
 }
 
-func (e seatDone) apply(d *seatDuty, _ time.Time) {
-	if cost, ok := d.taken[e.id]; ok {
-		delete(d.taken, e.id)
-		d.served += cost
+func (e seatReleased) apply(d *seatDuty, _ time.Time) {
+	if cost, ok := d.inUse[e.id]; ok {
+		delete(d.inUse, e.id)
+		d.servedCost += cost
 		return
 	}
 	d.queue.Remove(e.id)
 	delete(d.replies, e.id)
 }
 
-// hasFree is true while the engine can batch another request, or has not said
-// how many it can.
+// hasFree reports whether the engine can batch another request. It returns true
+// while the engine's capacity is unknown.
 func (d *seatDuty) hasFree() bool {
 	capacity := d.capacity()
-	return capacity <= 0 || len(d.taken) < capacity+max(1, capacity/seatSpare)
+	return capacity <= 0 || len(d.inUse) < capacity+max(1, capacity/spareSeatDivisor)
 }
 
 func (d *seatDuty) fill() {
@@ -205,8 +211,8 @@
 }
 
 func (d *seatDuty) grant(item fairqueue.Item) {
-	d.taken[item.ID] = item.Cost
-	d.answer(item.ID, granted)
+	d.inUse[item.ID] = item.Cost
+	d.answer(item.ID, seatGranted)
 }
 
 func (d *seatDuty) refuse(refusals ...fairqueue.Refusal) {
@@ -223,20 +229,21 @@
 	}
 }
 
-func (d *seatDuty) answer(id fairqueue.ID, verdict fairqueue.Refusal) {
-	d.replies[id] <- verdict
+func (d *seatDuty) answer(id fairqueue.ID, refusal fairqueue.Refusal) {
+	d.replies[id] <- refusal
 	delete(d.replies, id)
 }
 
-// measure averages the rate of service. It counts only while requests wait: a
-// server with free seats serves slower than it can.
+// measure updates the moving average of the service rate. Only intervals with
+// waiting requests count, because a server with free seats does not run at its
+// maximum rate.
 func (d *seatDuty) measure(now time.Time) {
-	elapsed := now.Sub(d.measured)
+	elapsed := now.Sub(d.measuredAt)
 	if elapsed < rateInterval {
 		return
 	}
-	rate := d.served / elapsed.Seconds()
-	d.served, d.measured = 0, now
+	rate := d.servedCost / elapsed.Seconds()
+	d.servedCost, d.measuredAt = 0, now
 	switch {
 	case d.queue.Len() == 0:
 		d.rate = 0
@@ -250,45 +257,47 @@
 
 func (d *seatDuty) nextWake(now time.Time) time.Duration {
 	wake := rateInterval
-	if due, ok := d.queue.NextDeadline(); ok {
-		wake = min(wake, max(0, due.Sub(now)))
+	if deadline, ok := d.queue.NextDeadline(); ok {
+		wake = min(wake, max(0, deadline.Sub(now)))
 	}
 	return wake
 }
 
-// itemOf reads what an entry says about a request's contract.
-func itemOf(header http.Header, id fairqueue.ID, now time.Time) fairqueue.Item {
+// queueItem returns the queue item of a request from the contract headers that
+// the entry sent.
+func queueItem(header http.Header, id fairqueue.ID, now time.Time) fairqueue.Item {
 	return fairqueue.Item{
 		ID:       id,
 		Contract: header.Get(wire.HeaderContract),
-		Share:    int(number(header, wire.HeaderShare, 1)),
-		Priority: int(number(header, wire.HeaderPriority, 0)),
-		Cost:     float64(max(1, number(header, wire.HeaderCost, defaultCost))),
-		Deadline: now.Add(time.Duration(number(header, wire.HeaderMaxWait, defaultMaxWait.Milliseconds())) * time.Millisecond),
+		Share:    int(headerInt(header, wire.HeaderShare, 1)),
+		Priority: int(headerInt(header, wire.HeaderPriority, 0)),
+		Cost:     float64(max(1, headerInt(header, wire.HeaderCost, defaultCost))),
+		Deadline: now.Add(time.Duration(headerInt(header, wire.HeaderMaxWait, defaultMaxWait.Milliseconds())) * time.Millisecond),
 	}
 }
 
-func number(header http.Header, name string, missing int64) int64 {
+func headerInt(header http.Header, name string, fallback int64) int64 {
 	value, err := strconv.ParseInt(header.Get(name), 10, 64)
 	if err != nil || value < 0 {
-		return missing
+		return fallback
 	}
 	return value
 }
 
-// unstarted answers a request that did not get as far as the engine. One whose
-// longest wait is over, or certain to pass, names that clause.
-func unstarted(err error) answer.Answer {
+// admissionRefusal returns the answer to a request that was refused before it
+// reached the engine. If the maximum wait has passed, or certainly would pass,
+// the answer names that clause.
+func admissionRefusal(err error) answer.Answer {
 	refusedCount.Add(1)
 	header := http.Header{outcome.Header: {outcome.NotRun.String()}}
 	if errors.Is(err, errNoSlot) {
 		header.Set(wire.HeaderDeclined, "true")
 	}
-	var over *waitError
-	if !errors.As(err, &over) {
+	var waitErr *waitError
+	if !errors.As(err, &waitErr) {
 		return answer.Text(http.StatusServiceUnavailable, header, err.Error())
 	}
 	header.Set(wire.HeaderClause, string(contract.ClauseMaxWait))
-	header.Set("Retry-After", strconv.Itoa(max(1, int(math.Ceil(over.retryAfter.Seconds())))))
+	header.Set("Retry-After", strconv.Itoa(max(1, int(math.Ceil(waitErr.retryAfter.Seconds())))))
 	return answer.Text(http.StatusTooManyRequests, header, err.Error())
 }
--- a/internal/agent/seats_test.go
+++ b/internal/agent/seats_test.go
@@ -12,8 +12,8 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// withSeats runs a test against a seat duty under virtual time.
-func withSeats(t *testing.T, limit, capacity int, test func(t *testing.T, s *seats)) {
+// testWithSeats runs a test with a seat duty and virtual time.
+func testWithSeats(t *testing.T, limit, capacity int, test func(t *testing.T, s *seats)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSeats(limit, func() int { return capacity })
 		ctx, cancel := context.WithCancel(t.Context())
@@ -28,10 +28,11 @@
 	return fairqueue.Item{ID: id, Contract: contract, Share: share, Cost: 100, Deadline: time.Now().Add(wait)}
 }
 
-// Capacity is short and one contract sends ten times as much as the others.
-// In the engine's own queue it would get ten times as much.
-func TestSeatsGoByShare(t *testing.T) {
-	withSeats(t, 10_000, 4, func(t *testing.T, s *seats) {
+// Capacity is scarce and one contract sends ten times as many requests as each
+// other contract. In the engine's own queue it would get ten times as much
+// service.
+func TestSeatsAreGrantedByShare(t *testing.T) {
+	testWithSeats(t, 10_000, 4, func(t *testing.T, s *seats) {
 		shares := map[string]int{"one": 1, "two": 2, "four": 4}
 		offered := map[string]int{"one": 3000, "two": 300, "four": 300}
 		served := make(map[string]int)
@@ -42,9 +43,9 @@
 				id++
 				item := seatItem(id, contract, shares[contract], time.Hour)
 				go func() {
-					if s.take(t.Context(), item) == nil {
+					if s.acquire(t.Context(), item) == nil {
 						time.Sleep(time.Second)
-						s.free(item.ID)
+						s.release(item.ID)
 						results <- contract
 					}
 				}()
@@ -56,27 +57,27 @@
 		if served["one"] < 45 || served["one"] > 55 || served["two"] < 95 || served["two"] > 105 || served["four"] < 195 || served["four"] > 205 {
 			t.Errorf("served %v of 350, shares 1:2:4", served)
 		}
-		// Let the rest run, so that every goroutine ends.
+		// Let the remaining requests run, so that every goroutine ends.
 		for range 3600 - 350 {
 			<-results
 		}
 	})
 }
 
-// A request waits for a seat until its contract's longest wait is over. It is
-// answered then, at once, and leaves no trace.
+// A request waits for a seat until its contract's maximum wait has passed. It
+// must be refused at exactly that time and hold no seat afterwards.
 func TestSeatWaitIsBounded(t *testing.T) {
-	withSeats(t, 10, 1, func(t *testing.T, s *seats) {
-		// Capacity 1 has 1 spare seat.
+	testWithSeats(t, 10, 1, func(t *testing.T, s *seats) {
+		// Capacity 1 has one spare seat.
 		for id := range fairqueue.ID(2) {
-			if err := s.take(t.Context(), seatItem(id, "a", 1, time.Hour)); err != nil {
+			if err := s.acquire(t.Context(), seatItem(id, "a", 1, time.Hour)); err != nil {
 				t.Fatal(err)
 			}
 		}
 		began := time.Now()
-		err := s.take(t.Context(), seatItem(2, "a", 1, 1500*time.Millisecond))
-		var over *waitError
-		if !errors.As(err, &over) || over.reason != fairqueue.ReasonExpired {
+		err := s.acquire(t.Context(), seatItem(2, "a", 1, 1500*time.Millisecond))
+		var waitErr *waitError
+		if !errors.As(err, &waitErr) || waitErr.reason != fairqueue.ReasonExpired {
 			t.Errorf("got %v", err)
 		}
 		if waited := time.Since(began); waited != 1500*time.Millisecond {
@@ -84,23 +85,23 @@
 		}
 		ctx, leave := context.WithCancel(t.Context())
 		left := make(chan error)
-		go func() { left <- s.take(ctx, seatItem(3, "a", 1, time.Hour)) }()
+		go func() { left <- s.acquire(ctx, seatItem(3, "a", 1, time.Hour)) }()
 		synctest.Wait()
 		leave()
 		if err := <-left; !errors.Is(err, context.Canceled) {
 			t.Errorf("got %v", err)
 		}
-		s.free(0)
-		if err := s.take(t.Context(), seatItem(4, "a", 1, time.Second)); err != nil {
-			t.Errorf("the seat of a request that left: %v", err)
+		s.release(0)
+		if err := s.acquire(t.Context(), seatItem(4, "a", 1, time.Second)); err != nil {
+			t.Errorf("seat of a cancelled request is not free: %v", err)
 		}
 	})
 }
 
-func TestItemOfHeaders(t *testing.T) {
+func TestQueueItemFromHeaders(t *testing.T) {
 	header := make(http.Header)
 	now := time.Now()
-	if item := itemOf(header, 1, now); item.Share != 1 || item.Cost != defaultCost || !item.Deadline.Equal(now.Add(defaultMaxWait)) {
+	if item := queueItem(header, 1, now); item.Share != 1 || item.Cost != defaultCost || !item.Deadline.Equal(now.Add(defaultMaxWait)) {
 		t.Errorf("without headers: %+v", item)
 	}
 	header.Set(wire.HeaderContract, "dabke")
@@ -109,7 +110,7 @@
 	header.Set(wire.HeaderCost, "1200")
 	header.Set(wire.HeaderMaxWait, "2500")
 	want := fairqueue.Item{ID: 1, Contract: "dabke", Share: 4, Priority: 7, Cost: 1200, Deadline: now.Add(2500 * time.Millisecond)}
-	if item := itemOf(header, 1, now); item != want {
+	if item := queueItem(header, 1, now); item != want {
 		t.Errorf("got %+v, want %+v", item, want)
 	}
 }
--- a/internal/agent/slotduty.go
+++ b/internal/agent/slotduty.go
@@ -27,15 +27,16 @@
 
 const (
 	tickInterval = 100 * time.Millisecond
-	// settleTime is how long after its start an agent distrusts the engine's
-	// word that an adapter is idle: the report lags, and may be older than
-	// the last requests of the agent before.
+	// settleTime is how long after adopting adapters an agent ignores the
+	// engine's reports that an adapter is idle. Reports lag behind, and may be
+	// older than the last requests of the previous agent.
 	settleTime = 2 * time.Second
-	// loadTimeGain is the weight of a new measurement of the load time.
+	// loadTimeGain is the weight of a new measurement in the moving average of
+	// the load time.
 	loadTimeGain = 0.2
 )
 
-// event is an input of the slot duty.
+// event is an input to the slot duty.
 type event interface {
 	apply(d *slotDuty, now time.Time) []slots.Action
 }
@@ -43,20 +44,23 @@
 type requested struct {
 	id  slots.RequestID
 	ref catalogue.Ref
-	// source is the adapter's place in the weight store, as the entry knows it.
+	// source is the adapter's location in the weight store, as known to the
+	// entry.
 	source string
 	weight float64
-	// patient requests wait for a slot; others are declined when none is to be had.
+	// patient requests wait for a slot. Others are declined if none is
+	// obtainable.
 	patient bool
 	reply   chan<- verdict
 }
 
 type (
-	cancelled   struct{ id slots.RequestID }
-	released    struct{ id slots.RequestID }
-	adapterLost struct{ ref catalogue.Ref }
-	engineSeen  struct{ report engineReport }
-	// engineFull is the report after an engine refused a load for want of a slot.
+	cancelled      struct{ id slots.RequestID }
+	released       struct{ id slots.RequestID }
+	adapterLost    struct{ ref catalogue.Ref }
+	engineReported struct{ report engineReport }
+	// engineFull is the report after an engine refused a load because it had no
+	// free slot.
 	engineFull struct{ report engineReport }
 	permitted  struct{ order slots.OrderID }
 	loadDone   struct {
@@ -75,37 +79,37 @@
 	reason slots.Reason
 }
 
-// pendingReply is where a waiting request's verdict goes.
+// pendingReply is the reply channel of a waiting request.
 type pendingReply struct {
 	reply chan<- verdict
 	ref   catalogue.Ref
 	since time.Time
 }
 
-// slotDuty owns the slot table; no other goroutine touches it. It never waits
-// for anything but its rings.
+// slotDuty owns the slot table. No other goroutine accesses the table. The duty
+// never blocks except to wait for events.
 type slotDuty struct {
-	// stalls are those of recent requests, for operators.
+	// stalls averages the load stalls of recent requests, for operators.
 	stalls      stallMeter
 	agent       *Agent
 	table       *slots.Table
 	replies     map[slots.RequestID]pendingReply
 	sources     map[catalogue.Ref]string
-	asked       map[slots.OrderID]time.Time
+	requestedAt map[slots.OrderID]time.Time
 	loadTime    time.Duration
 	capacity    int
 	incarnation uint64
-	adopted     time.Time
+	adoptedAt   time.Time
 }
 
 func (a *Agent) runSlots(ctx context.Context) {
 	defer close(a.stopped)
 	duty := &slotDuty{
-		agent:   a,
-		table:   slots.NewTable(slots.Options{Slots: a.options.Slots, Queue: a.options.Queue}),
-		replies: make(map[slots.RequestID]pendingReply),
-		sources: make(map[catalogue.Ref]string),
-		asked:   make(map[slots.OrderID]time.Time),
+		agent:       a,
+		table:       slots.NewTable(slots.Options{Slots: a.options.Slots, Queue: a.options.Queue}),
+		replies:     make(map[slots.RequestID]pendingReply),
+		sources:     make(map[catalogue.Ref]string),
+		requestedAt: make(map[slots.OrderID]time.Time),
 	}
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -118,15 +122,15 @@
 	}
 }
 
-// next takes the next event, ends before requests.
+// next returns the next event, priority events first.
 func (d *slotDuty) next(ctx context.Context, tick <-chan time.Time) (event, bool) {
 	select {
-	case e := <-d.agent.ends:
+	case e := <-d.agent.priorityEvents:
 		return e, true
 	default:
 	}
 	select {
-	case e := <-d.agent.ends:
+	case e := <-d.agent.priorityEvents:
 		return e, true
 	case e := <-d.agent.requests:
 		return e, true
@@ -137,17 +141,17 @@
 	}
 }
 
-// sendEnd hands an event to the slot duty. It waits only while the ring is
-// full, which the duty empties without ever waiting itself.
-func (a *Agent) sendEnd(e event) {
+// sendPriority sends an event to the slot duty. It blocks only while the queue
+// is full, and the duty drains the queue without blocking.
+func (a *Agent) sendPriority(e event) {
 	select {
-	case a.ends <- e:
+	case a.priorityEvents <- e:
 	case <-a.stopped:
 	}
 }
 
-// sendCancel follows the request through the same ring: were it to overtake
-// the request, the adapter would stay pinned for ever.
+// sendCancel sends a cancellation through the same queue as the request. If it
+// overtook the request, the adapter would stay pinned forever.
 func (a *Agent) sendCancel(e cancelled) {
 	select {
 	case a.requests <- e:
@@ -180,16 +184,16 @@
 		case slots.Refuse:
 			d.answer(action.Request, verdict{reason: action.Reason}, now)
 		case slots.Ask:
-			if _, again := d.asked[action.Order]; !again {
-				d.asked[action.Order] = now
+			if _, known := d.requestedAt[action.Order]; !known {
+				d.requestedAt[action.Order] = now
 			}
-			d.agent.permits.ask(action)
+			d.agent.permits.request(action)
 		case slots.Return:
-			delete(d.asked, action.Order)
-			d.agent.permits.giveBack(action.Order)
+			delete(d.requestedAt, action.Order)
+			d.agent.permits.release(action.Order)
 		case slots.Load:
 			loadCount.Add(1)
-			d.agent.permits.holding(action.Order)
+			d.agent.permits.loadStarted(action.Order)
 			go d.agent.load(ctx, action, d.sources[action.Ref])
 		case slots.Unload:
 			unloadCount.Add(1)
@@ -198,14 +202,14 @@
 	}
 }
 
-// answer gives a request its verdict, once; the channel has room for it.
+// answer sends a request its verdict, at most once. The channel is buffered.
 func (d *slotDuty) answer(id slots.RequestID, v verdict, now time.Time) {
 	pending, ok := d.replies[id]
 	if !ok {
 		return
 	}
 	delete(d.replies, id)
-	d.stalls.note(now.Sub(pending.since))
+	d.stalls.observe(now.Sub(pending.since))
 	if waited := now.Sub(pending.since); waited > 0 {
 		stalledCount.Add(1)
 		stallMillis.Add(waited.Milliseconds())
@@ -219,32 +223,33 @@
 		loadFailedCount.Add(1)
 		a.log.Warn("adapter load failed", zap.Stringer("adapter", action.Ref), zap.Error(err))
 	}
-	if refusedBy(err) == http.StatusConflict {
-		// What the engine holds must be known before the load is planned anew.
+	if refusalStatus(err) == http.StatusConflict {
+		// The adapters that the engine holds must be known before the load is
+		// planned again.
 		a.reconcile(ctx)
 	}
-	a.sendEnd(loadDone{action: action, err: err})
+	a.sendPriority(loadDone{action: action, err: err})
 }
 
-// reconcile finds the adapters that the engine holds and the table does not
-// know: an order that hung may have been carried out after it was undone. The
-// engine would refuse every load for want of a slot.
+// reconcile finds adapters that the engine holds but the table does not know,
+// such as after an order that timed out and was carried out after its undo.
+// Without it, the engine would refuse every load because it has no free slot.
 func (a *Agent) reconcile(ctx context.Context) {
 	if report, err := a.orders.report(ctx); err == nil {
-		a.sendEnd(engineFull{report: report})
+		a.sendPriority(engineFull{report: report})
 	}
 }
 
 func (a *Agent) unload(ctx context.Context, action slots.Unload) {
 	err := a.orders.unload(ctx, action.Ref)
-	if refusedBy(err) == http.StatusNotFound {
+	if refusalStatus(err) == http.StatusNotFound {
 		err = nil
 	}
 	if err != nil {
 		unloadFailedCount.Add(1)
 		a.log.Warn("adapter unload failed", zap.Stringer("adapter", action.Ref), zap.Error(err))
 	}
-	a.sendEnd(unloadDone{action: action, err: err})
+	a.sendPriority(unloadDone{action: action, err: err})
 }
 
 type ticked struct{}
@@ -254,13 +259,13 @@
 func (e requested) apply(d *slotDuty, now time.Time) []slots.Action {
 	d.replies[e.id] = pendingReply{reply: e.reply, ref: e.ref, since: now}
 	d.sources[e.ref] = e.source
-	d.forgetSources()
+	d.pruneSources()
 	return d.table.Request(slots.Claim{Request: e.id, Ref: e.ref, Weight: e.weight, Patient: e.patient}, now)
 }
 
-// forgetSources keeps only the sources of adapters that requests wait for,
-// once there are many: an agent may see every adapter of the catalogue.
-func (d *slotDuty) forgetSources() {
+// pruneSources drops the sources of all adapters that no request waits for,
+// once the map is large. An agent may see every adapter of the catalogue.
+func (d *slotDuty) pruneSources() {
 	if len(d.sources) <= 2*(d.agent.options.Queue+d.agent.options.Slots) {
 		return
 	}
@@ -287,17 +292,17 @@
 }
 
 func (e loadDone) apply(d *slotDuty, now time.Time) []slots.Action {
-	asked, known := d.asked[e.action.Order]
-	switch refused := refusedBy(e.err); {
-	case refused == http.StatusConflict:
+	requestedAt, known := d.requestedAt[e.action.Order]
+	switch status := refusalStatus(e.err); {
+	case status == http.StatusConflict:
 		return d.table.LoadFull(e.action.Order, now)
 	case e.err != nil:
-		return d.table.LoadFailed(e.action.Order, refused != 0, now)
+		return d.table.LoadFailed(e.action.Order, status != 0, now)
 	}
 	if known {
-		d.loadTime += time.Duration(loadTimeGain * float64(now.Sub(asked)-d.loadTime))
+		d.loadTime += time.Duration(loadTimeGain * float64(now.Sub(requestedAt)-d.loadTime))
 	}
-	d.agent.permits.finished(e.action.Order)
+	d.agent.permits.loadFinished(e.action.Order)
 	return d.table.Loaded(e.action.Order, now)
 }
 
@@ -308,9 +313,10 @@
 	return d.table.Unloaded(e.action.Order, now)
 }
 
-// apply takes an engine's report. The first shows what an earlier agent left
-// behind; another incarnation means that the engine is empty.
-func (e engineSeen) apply(d *slotDuty, now time.Time) []slots.Action {
+// apply processes an engine's report. The first report shows which adapters an
+// earlier agent left loaded. A changed incarnation means that the engine has
+// restarted and is empty.
+func (e engineReported) apply(d *slotDuty, now time.Time) []slots.Action {
 	d.capacity = e.report.Capacity
 	switch {
 	case d.incarnation == 0:
@@ -322,21 +328,21 @@
 		engineRestartCount.Add(1)
 		d.agent.log.Info("engine restarted", zap.Uint64("incarnation", e.report.Incarnation))
 		actions := d.table.EngineRestarted()
-		// Until the restart was noticed, requests may have loaded adapters
-		// again and run on them; the engine's list says which.
+		// Before the restart was detected, requests may have loaded adapters
+		// and may be running on them. The engine's report lists these adapters.
 		d.adopt(e.report, now)
 		return actions
-	case now.Sub(d.adopted) < settleTime:
+	case now.Sub(d.adoptedAt) < settleTime:
 		return nil
 	default:
 		return d.table.InUse(d.inUse(e.report), now)
 	}
 }
 
-// adopt takes over what the engine holds, pinned until the engine has said for
-// certain that it serves nothing on it.
+// adopt adds the adapters that the engine holds to the table. They stay pinned
+// until the engine reports reliably that they serve no requests.
 func (d *slotDuty) adopt(report engineReport, now time.Time) {
-	d.adopted = now
+	d.adoptedAt = now
 	for _, name := range report.Adapters {
 		ref, err := catalogue.ParseRef(name)
 		if err != nil {
@@ -354,12 +360,12 @@
 	return nil
 }
 
-// inUse reads which adapters serve requests. An engine that does not tell by
-// adapter is taken at its total: beyond this agent's own requests, any adopted
-// adapter may be in use.
+// inUse returns the adapters that serve requests. If the engine reports only a
+// total number of running requests, and it exceeds this agent's own requests,
+// any adopted adapter may be in use.
 func (d *slotDuty) inUse(report engineReport) []catalogue.Ref {
-	if report.InUse == nil && report.Running > d.table.Report(d.adopted).Running {
-		return d.table.Report(d.adopted).Resident
+	if report.InUse == nil && report.Running > d.table.Report(d.adoptedAt).Running {
+		return d.table.Report(d.adoptedAt).Resident
 	}
 	refs := make([]catalogue.Ref, 0, len(report.InUse))
 	for _, name := range report.InUse {
--- a/internal/agent/stalls_test.go
+++ b/internal/agent/stalls_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestStallMeterFollowsWhatRequestsMeet(t *testing.T) {
+func TestStallMeterAveragesRecentRequests(t *testing.T) {
 	var m stallMeter
 	steps := []struct {
 		name            string
@@ -20,7 +20,7 @@
 	}
 	for _, s := range steps {
 		for range s.requests {
-			m.note(s.waited)
+			m.observe(s.waited)
 		}
 		if m.percent() != s.percent || m.millis() != s.millis {
 			t.Errorf("%s: %d%% stall for %d ms, want %d%% for %d ms", s.name, m.percent(), m.millis(), s.percent, s.millis)
--- a/internal/agent/window.go
+++ b/internal/agent/window.go
@@ -9,28 +9,29 @@
 )
 
 const (
-	// windowAhead is how far an engine's answer may run ahead of its
-	// reader, in bytes; beyond that the engine is held back.
+	// windowAhead is the number of bytes by which an engine's answer may be
+	// ahead of its reader. Beyond that the engine's stream is throttled.
 	windowAhead = 64 << 10
-	// windowBehind is how much that was already read is kept for a reader
-	// that comes back, in bytes. It covers what may be lost in the buffers
-	// of a connection that was cut.
+	// windowBehind is the number of bytes already read that are retained for a
+	// reader that reconnects. It covers the data that may be lost in the
+	// buffers of a broken connection.
 	windowBehind = 256 << 10
 )
 
 var (
-	errWindowPassed = errors.New("this part of the answer is no longer kept")
-	errSuperseded   = errors.New("another connection took over the answer")
+	errNotRetained = errors.New("this part of the answer is no longer kept")
+	errSuperseded  = errors.New("another connection took over the answer")
 )
 
-// window is the part of one answer that is kept for its reader. A reader that
-// lost its connection comes back at any kept offset.
+// window holds the part of one answer that is retained for its reader. A reader
+// that lost its connection can resume at any retained offset.
 type window struct {
 	mu   sync.Mutex
 	data []byte
-	// base is the offset of data in the answer; read is how far the reader is.
-	base, read int64
-	// reader counts the readers that came; only the last one is served.
+	// base is the offset of data in the answer. readOffset is the reader's
+	// current offset.
+	base, readOffset int64
+	// reader counts the readers attached so far. Only the last one is served.
 	reader  uint64
 	done    bool
 	err     error
@@ -39,7 +40,7 @@
 
 func newWindow() *window { return &window{changed: make(chan struct{})} }
 
-// notify wakes everyone who waits. The caller holds mu.
+// notify wakes all waiting goroutines. The caller must hold mu.
 func (w *window) notify() {
 	close(w.changed)
 	w.changed = make(chan struct{})
@@ -47,11 +48,12 @@
 
 func (w *window) end() int64 { return w.base + int64(len(w.data)) }
 
-// append adds data when the reader is near enough, or waits for it.
+// append adds data. It blocks while the answer is windowAhead or more bytes
+// ahead of the reader.
 func (w *window) append(ctx context.Context, data []byte) error {
 	for {
 		w.mu.Lock()
-		if w.end()-w.read < windowAhead {
+		if w.end()-w.readOffset < windowAhead {
 			w.data = append(w.data, data...)
 			w.trim()
 			w.notify()
@@ -68,9 +70,10 @@
 	}
 }
 
-// trim forgets what lies further back than windowBehind. The caller holds mu.
+// trim drops data more than windowBehind bytes before the reader's offset. The
+// caller must hold mu.
 func (w *window) trim() {
-	excess := w.read - windowBehind - w.base
+	excess := w.readOffset - windowBehind - w.base
 	if excess <= 0 {
 		return
 	}
@@ -78,7 +81,7 @@
 	w.base += excess
 }
 
-// finish ends the answer; err is nil when it is whole.
+// finish marks the answer as ended. err is nil if the answer is complete.
 func (w *window) finish(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -86,28 +89,28 @@
 	w.notify()
 }
 
-// attach makes the caller the reader from an offset on. A reader before it is
+// attach makes the caller the reader from an offset on. The previous reader is
 // no longer served.
 func (w *window) attach(offset int64) (uint64, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if offset < w.base || offset > w.end() {
-		return 0, errWindowPassed
+		return 0, errNotRetained
 	}
 	if w.done && w.err != nil && offset == w.end() {
 		return 0, w.err
 	}
 	w.reader++
-	w.read = offset
+	w.readOffset = offset
 	w.notify()
 	return w.reader, nil
 }
 
-// next copies what follows an offset into the buffer, and waits for it. The
-// error is io.EOF after the whole answer.
+// next copies data from an offset on into the buffer, waiting until some is
+// available. It returns io.EOF at the end of a complete answer.
 func (w *window) next(ctx context.Context, reader uint64, offset int64, buffer []byte) (int, error) {
 	for {
-		n, changed, err := w.take(reader, offset, buffer)
+		n, changed, err := w.read(reader, offset, buffer)
 		if n > 0 || err != nil {
 			return n, err
 		}
@@ -119,14 +122,14 @@
 	}
 }
 
-func (w *window) take(reader uint64, offset int64, buffer []byte) (int, <-chan struct{}, error) {
+func (w *window) read(reader uint64, offset int64, buffer []byte) (int, <-chan struct{}, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if reader != w.reader {
 		return 0, nil, errSuperseded
 	}
-	if w.read != offset {
-		w.read = offset
+	if w.readOffset != offset {
+		w.readOffset = offset
 		w.notify()
 	}
 	n := copy(buffer, w.data[offset-w.base:])
