--- a/internal/limiter/duty.go
+++ b/internal/limiter/duty.go
@@ -13,24 +13,24 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// duty owns the holder; no other goroutine touches it.
+// duty owns the holder. No other goroutine accesses it.
 type duty struct {
 	*Limiter
 	holder   *quota.Holder
 	verdicts map[quota.RequestID]chan<- quota.Action
 	clients  []*rpc.Client
-	// owner is the index of the control instance that last accepted.
-	owner   int
-	replies chan renewed
-	// renewAt is when the next renewal is due at the latest.
+	// owner is the index of the control instance that last accepted a renewal.
+	owner    int
+	renewals chan renewalResult
+	// renewAt is the latest time for the next renewal.
 	renewAt time.Time
-	// renewalWasDue is true when the renewal under way is a regular one.
-	renewalWasDue bool
-	leased        bool
+	// regularRenewal is true if the renewal in flight is a regular one.
+	regularRenewal bool
+	leased         bool
 }
 
-// renewed is the end of one renewal.
-type renewed struct {
+// renewalResult is the result of one renewal.
+type renewalResult struct {
 	reply quota.Reply
 	err   error
 }
@@ -42,7 +42,7 @@
 		Limiter:  l,
 		holder:   quota.NewHolder(l.options.Quota, l.options.Instance, uint64(time.Now().UnixNano())),
 		verdicts: make(map[quota.RequestID]chan<- quota.Action),
-		replies:  make(chan renewed, 1),
+		renewals: make(chan renewalResult, 1),
 	}
 	for _, peer := range l.options.Peers {
 		d.clients = append(d.clients, rpc.NewClient(peer, l.options.RPC...))
@@ -59,8 +59,8 @@
 			return
 		case e := <-l.events:
 			e.apply(d, time.Now())
-		case r := <-d.replies:
-			d.finish(time.Now(), r)
+		case r := <-d.renewals:
+			d.handleRenewal(time.Now(), r)
 		case now := <-timer.C:
 			d.perform(d.holder.Tick(now))
 		}
@@ -102,8 +102,8 @@
 	}
 }
 
-// renewIfDue sends a renewal at its interval, or at once when that helps a
-// waiting request. Nothing is sent while no contract is in use.
+// renewIfDue sends a renewal after its interval, or immediately if that can
+// help a waiting request. Nothing is sent while no contract is in use.
 func (d *duty) renewIfDue(ctx context.Context, now time.Time) {
 	if d.holder.Renewing() || d.holder.InUse() == 0 {
 		return
@@ -112,23 +112,23 @@
 	if !due && !d.holder.Urgent(now) {
 		return
 	}
-	d.follow(now)
+	d.updateContracts(now)
 	renewal := d.holder.Renewal(now, due)
-	d.renewalWasDue = due
+	d.regularRenewal = due
 	inUseGauge.Set(int64(d.holder.InUse()))
 	renewalCount.Add(1)
 	client := d.clients[d.owner]
 	go func() {
-		var r renewed
+		var r renewalResult
 		callCtx, cancel := context.WithTimeout(ctx, renewTimeout)
 		defer cancel()
 		r.err = client.Call(callCtx, wire.MethodRenewQuota, renewal, &r.reply)
-		d.replies <- r
+		d.renewals <- r
 	}()
 }
 
-// follow brings the contracts in use up to date with the entry's configuration.
-func (d *duty) follow(now time.Time) {
+// updateContracts applies the entry's configuration to the contracts in use.
+func (d *duty) updateContracts(now time.Time) {
 	for _, id := range d.holder.Contracts() {
 		if agreed, ok := d.contracts.Contract(id); ok {
 			d.perform(d.holder.UpdateContract(now, agreed))
@@ -136,9 +136,9 @@
 	}
 }
 
-func (d *duty) finish(now time.Time, r renewed) {
+func (d *duty) handleRenewal(now time.Time, r renewalResult) {
 	if r.err != nil || !r.reply.Accepted {
-		lostCount.Add(1)
+		renewalFailedCount.Add(1)
 		if r.err != nil {
 			d.holder.RenewalFailed()
 		} else {
@@ -149,21 +149,21 @@
 		}
 		d.renewAt = now.Add(retryDelay)
 		d.extend(now)
-		d.noteLease(now)
+		d.logLeaseChange(now)
 		return
 	}
 	d.perform(d.holder.Reply(now, r.reply))
-	if d.renewalWasDue {
+	if d.regularRenewal {
 		d.renewAt = now.Add(interval)
 	}
-	if soon := now.Add(shortInterval); soon.Before(d.renewAt) && d.holder.Short() {
-		d.renewAt = soon
+	if early := now.Add(shortInterval); early.Before(d.renewAt) && d.holder.Short() {
+		d.renewAt = early
 	}
-	d.noteLease(now)
+	d.logLeaseChange(now)
 }
 
-// extend keeps the shares while control has too few instances to elect a
-// leader: nobody can grant them to another entry until then.
+// extend extends the lease of the shares while control has too few instances to
+// elect a leader. Until then the shares cannot be granted to another entry.
 func (d *duty) extend(now time.Time) {
 	if d.options.Freshness == nil {
 		return
@@ -173,7 +173,7 @@
 	}
 }
 
-func (d *duty) noteLease(now time.Time) {
+func (d *duty) logLeaseChange(now time.Time) {
 	leased := d.holder.Leased(now)
 	if leased != d.leased {
 		d.log.Info("lease of the contracts' shares", zap.Bool("held", leased))
@@ -181,8 +181,8 @@
 	d.leased = leased
 }
 
-// nextWake is how long the duty may sleep. While a renewal is under way its end
-// wakes the duty.
+// nextWake returns the time until the duty must run again. While a renewal is
+// in flight, its result wakes the duty.
 func (d *duty) nextWake(now time.Time) time.Duration {
 	wake := now.Add(interval)
 	if due, ok := d.holder.NextTick(now); ok && due.Before(wake) {
@@ -194,13 +194,14 @@
 	return max(0, wake.Sub(now))
 }
 
-// release hands the shares back, so that other entries get them at once. Were
-// the message lost, the slots would stay counted for as long as a request may
-// run, so it is sent until the owner has accepted it.
+// release returns the shares, so that other entries can get them immediately.
+// If the message were lost, the slots would stay counted for the maximum
+// duration of a request, so it is sent until the owner has accepted it.
 func (d *duty) release(ctx context.Context) {
 	if d.holder.Renewing() {
-		// Its end closes the connection that the release would use.
-		<-d.replies
+		// The end of the renewal closes the connection that the release would
+		// use.
+		<-d.renewals
 	}
 	if d.holder.InUse() == 0 {
 		return
@@ -216,7 +217,7 @@
 		d.owner = (d.owner + 1) % len(d.clients)
 		_ = wait.For(ctx, retryDelay)
 	}
-	d.log.Warn("shares were not handed back; they run out by themselves")
+	d.log.Warn("could not return the shares to their owner; they expire by themselves")
 }
 
 func (d *duty) close() {
--- a/internal/limiter/leader_test.go
+++ b/internal/limiter/leader_test.go
@@ -18,20 +18,20 @@
 	"github.com/rosemarypass/rosemarypass/internal/rpc"
 )
 
-// empty is a state machine without state.
-type empty struct{}
+// emptyStateMachine is a state machine without state.
+type emptyStateMachine struct{}
 
-func (empty) Apply(uint64, []byte) []byte { return nil }
-func (empty) Snapshot() ([]byte, error)   { return nil, nil }
-func (empty) Restore([]byte) error        { return nil }
+func (emptyStateMachine) Apply(uint64, []byte) []byte { return nil }
+func (emptyStateMachine) Snapshot() ([]byte, error)   { return nil, nil }
+func (emptyStateMachine) Restore([]byte) error        { return nil }
 
-// controlInstance is a member of the log that may own the quotas.
+// controlInstance is a member of the replicated log that may own the quotas.
 type controlInstance struct {
 	ownership *control.LeaderOwnership
 	stop      func()
 }
 
-func startControls(t *testing.T, s *site, size int) (instances []controlInstance, addresses []string) {
+func startControlInstances(t *testing.T, s *site, size int) (instances []controlInstance, addresses []string) {
 	t.Helper()
 	listeners := make([]net.Listener, size)
 	for i := range size {
@@ -45,12 +45,12 @@
 	for i, listener := range listeners {
 		r, err := replica.Open(replica.Options{
 			Instance: fmt.Sprint("control-", i), Address: addresses[i], Peers: addresses, Bootstrap: i == 0, Folder: t.TempDir(),
-		}, empty{}, zap.NewNop())
+		}, emptyStateMachine{}, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
-		one := controlInstance{ownership: control.NewLeaderOwnership(r)}
-		quotas := control.NewQuotas(quota.DefaultOptions(), one.ownership, s.Contract, zap.NewNop())
+		instance := controlInstance{ownership: control.NewLeaderOwnership(r)}
+		quotas := control.NewQuotas(quota.DefaultOptions(), instance.ownership, s.Contract, zap.NewNop())
 		handlers := r.Handlers()
 		for method, handler := range quotas.Handlers() {
 			handlers[method] = handler
@@ -60,27 +60,27 @@
 		var duties sync.WaitGroup
 		duties.Go(func() { _ = server.Serve(ctx, listener) })
 		duties.Go(func() { r.Run(ctx) })
-		duties.Go(func() { one.ownership.Run(ctx) })
+		duties.Go(func() { instance.ownership.Run(ctx) })
 		duties.Go(func() { quotas.Run(ctx) })
-		one.stop = sync.OnceFunc(func() {
+		instance.stop = sync.OnceFunc(func() {
 			cancel()
 			_ = listener.Close()
 			server.Close()
 			duties.Wait()
 		})
-		t.Cleanup(one.stop)
-		instances = append(instances, one)
+		t.Cleanup(instance.stop)
+		instances = append(instances, instance)
 	}
 	return instances, addresses
 }
 
-// owner returns the one instance that owns the quotas, and its epoch.
+// owner returns the index of the instance that owns the quotas, and its epoch.
 func owner(t *testing.T, instances []controlInstance) (index int, epoch uint64) {
 	t.Helper()
 	for {
 		owners := 0
-		for i, one := range instances {
-			if e, _, yes := one.ownership.QuotaTenure(); yes {
+		for i, instance := range instances {
+			if e, _, ok := instance.ownership.QuotaTenure(); ok {
 				index, epoch = i, e
 				owners++
 			}
@@ -96,35 +96,35 @@
 }
 
 // The control leader crashes while a customer uses part of its contract. The
-// next leader does not know of that use, and must not lease it a second time;
-// nor may the customer be refused what is left.
-func TestLimitsOutliveTheControlLeader(t *testing.T) {
-	limits := generous()
+// next leader does not know of that use and must not lease it a second time.
+// The customer must still get the rest of its contract.
+func TestLimitsHoldAcrossLeaderChange(t *testing.T) {
+	limits := testLimits()
 	limits.MaxWait = 30 * time.Second
-	s := startSite(t, sample(limits))
-	instances, addresses := startControls(t, s, 3)
+	s := startSite(t, testContract(limits))
+	instances, addresses := startControlInstances(t, s, 3)
 	first, epoch := owner(t, instances)
 	l, _ := s.entry("a", addresses...)
-	held, refused := l.Admit(s.ctx, s.ask(1))
+	firstPermit, refused := l.Admit(s.ctx, s.ask(1))
 	if refused != nil {
-		t.Fatalf("under the first owner: %+v", refused)
+		t.Fatalf("refused under the first owner: %+v", refused)
 	}
 	instances[first].stop()
-	_, next := owner(t, append(instances[:first:first], instances[first+1:]...))
-	if next <= epoch {
-		t.Fatalf("epoch %d follows %d", next, epoch)
+	_, nextEpoch := owner(t, append(instances[:first:first], instances[first+1:]...))
+	if nextEpoch <= epoch {
+		t.Fatalf("epoch of the next owner is %d, want more than %d", nextEpoch, epoch)
 	}
-	more, refused := l.Admit(s.ctx, s.ask(1))
+	secondPermit, refused := l.Admit(s.ctx, s.ask(1))
 	if refused != nil {
-		t.Fatalf("under the next owner: %+v", refused)
+		t.Fatalf("refused under the next owner: %+v", refused)
 	}
 	// Another entry finds the concurrency used up.
 	other, _ := s.entry("b", addresses...)
-	short := s.ask(1)
-	short.Contract.Limits.MaxWait = 3 * time.Second
-	if _, refused := other.Admit(s.ctx, short); refused == nil || refused.Clause != contract.ClauseConcurrency {
-		t.Errorf("a third request at once: %+v", refused)
+	shortWait := s.ask(1)
+	shortWait.Contract.Limits.MaxWait = 3 * time.Second
+	if _, refused := other.Admit(s.ctx, shortWait); refused == nil || refused.Clause != contract.ClauseConcurrency {
+		t.Errorf("third concurrent request: got %+v, want a refusal for concurrency", refused)
 	}
-	held.Settle(entry.Use{})
-	more.Settle(entry.Use{})
+	firstPermit.Settle(entry.Use{})
+	secondPermit.Settle(entry.Use{})
 }
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -1,5 +1,6 @@
-// Package limiter is the duty of an entry that holds its shares of contracts,
-// admits requests within them and renews them at the owner in control.
+// Package limiter implements the duty of an entry that holds its shares of
+// contracts, admits requests within them and renews them at the owner in
+// control.
 package limiter
 
 import (
@@ -19,54 +20,56 @@
 )
 
 var (
-	admittedCount = telemetry.Counter("limits_admitted")
-	queuedCount   = telemetry.Counter("limits_admitted_after_wait")
-	ringFullCount = telemetry.Counter("limits_ring_full")
-	noLeaseCount  = telemetry.Counter("limits_refused_without_lease")
-	renewalCount  = telemetry.Counter("limits_renewals")
-	lostCount     = telemetry.Counter("limits_renewals_lost")
-	inUseGauge    = telemetry.Counter("limits_contracts_in_use")
+	admittedCount      = telemetry.Counter("limits_admitted")
+	queuedCount        = telemetry.Counter("limits_admitted_after_wait")
+	ringFullCount      = telemetry.Counter("limits_ring_full")
+	noLeaseCount       = telemetry.Counter("limits_refused_without_lease")
+	renewalCount       = telemetry.Counter("limits_renewals")
+	renewalFailedCount = telemetry.Counter("limits_renewals_lost")
+	inUseGauge         = telemetry.Counter("limits_contracts_in_use")
 )
 
-// refusedCounter counts refusals by clause.
-func refusedCounter(clause contract.Clause) {
+// countRefusal counts a refusal under its clause.
+func countRefusal(clause contract.Clause) {
 	telemetry.Counter("limits_refused_" + string(clause)).Add(1)
 }
 
-// Contracts looks up a contract as the entry follows it.
+// Contracts looks up a contract in the configuration known to the entry.
 type Contracts interface {
 	Contract(id string) (contract.Contract, bool)
 }
 
-// Options configure a limiter.
+// Options configures a limiter.
 type Options struct {
-	// Instance names the entry, unique in the deployment.
+	// Instance is the name of the entry, unique in the deployment.
 	Instance string
-	// Peers are the control instances' JSON-RPC addresses.
+	// Peers are the JSON-RPC addresses of the control instances.
 	Peers []string
-	// Quota must be the same as the owner's.
+	// Quota must equal the owner's options.
 	Quota quota.Options
-	// RPC are the options of connections to them.
+	// RPC are the options of the connections to the control instances.
 	RPC []rpc.ClientOption
-	// Freshness, when set, tells whether too few control instances run to
-	// have a leader, and when that was last seen: no new owner can have
-	// granted anything until then.
+	// Freshness, if set, reports whether too few control instances are running
+	// to have a leader, and when this was last observed. No new owner can have
+	// granted anything before that time.
 	Freshness func() freshness.State
 }
 
 const (
-	// ringSize bounds the requests that wait for the duty; one that finds the
-	// ring full is refused as not run.
+	// ringSize is the capacity of the duty's event queue. A request that finds
+	// the queue full is refused as not run.
 	ringSize = 4096
-	// interval is the time between renewals, shortInterval that while a
-	// request waits for more than the owner had at the last renewal.
+	// interval is the time between renewals. shortInterval is used instead
+	// while a request waits for more than the owner had available at the last
+	// renewal.
 	interval      = 500 * time.Millisecond
 	shortInterval = 100 * time.Millisecond
-	// retryDelay is the pause before the next control instance is asked.
+	// retryDelay is the pause before the next control instance is tried.
 	retryDelay = 25 * time.Millisecond
-	// renewTimeout bounds one renewal, so that several fit into a lease.
+	// renewTimeout is the timeout of one renewal. It is short enough for
+	// several renewals within one lease.
 	renewTimeout = 500 * time.Millisecond
-	// releaseTimeout bounds handing back the shares at a planned stop.
+	// releaseTimeout is the timeout for returning the shares at a planned stop.
 	releaseTimeout = time.Second
 )
 
@@ -82,7 +85,7 @@
 	stopped   chan struct{}
 }
 
-// New returns a limiter; Run starts its duty.
+// New returns a limiter. Run starts its duty.
 func New(options Options, contracts Contracts, log *zap.Logger) *Limiter {
 	return &Limiter{
 		options:   options,
@@ -94,8 +97,9 @@
 	}
 }
 
-// Stop hands the shares back and ends the duty. It is called when no request is
-// in flight any more, and returns when that is done or ctx ends.
+// Stop returns the shares to their owner and ends the duty. It must be called
+// after the last request has ended. It returns when the duty has ended or ctx
+// ends.
 func (l *Limiter) Stop(ctx context.Context) {
 	l.stopOnce.Do(func() { close(l.stopping) })
 	select {
@@ -104,7 +108,7 @@
 	}
 }
 
-// event is an input of the duty.
+// event is an input to the duty.
 type event interface{ apply(*duty, time.Time) }
 
 type asked struct {
@@ -164,14 +168,15 @@
 	prompt  int64
 }
 
-// Settle waits when the ring is full: a settlement that got lost would keep its
-// slot taken. The duty never waits for a request, so this ends.
+// Settle blocks while the event queue is full, because a lost settlement would
+// keep its slot taken. The duty never waits for a request, so the wait ends.
 func (p *permit) Settle(use entry.Use) {
 	p.limiter.events <- settled{p.id, quota.Use{NotRun: use.NotRun, Tokens: usedTokens(use, p.prompt)}}
 }
 
-// usedTokens is the engine's own count or, for a stream that reports none, the
-// bound of the prompt and one token for each event.
+// usedTokens returns the engine's token count or, for a stream without one, an
+// estimate: the prompt's bound plus one token for each event. It returns -1 if
+// neither is known.
 func usedTokens(use entry.Use, prompt int64) int64 {
 	switch {
 	case use.Tokens > 0:
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -21,7 +21,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// site is an owner of quotas on loopback with limiters that use it.
+// site is an owner of quotas on the loopback interface with limiters that use
+// it.
 type site struct {
 	t       *testing.T
 	ctx     context.Context
@@ -38,13 +39,13 @@
 	return s.agreed, s.agreed.ID == id
 }
 
-func (s *site) put(agreed contract.Contract) {
+func (s *site) setContract(agreed contract.Contract) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.agreed = agreed
 }
 
-func sample(limits contract.Limits) contract.Contract {
+func testContract(limits contract.Limits) contract.Contract {
 	return contract.Contract{ID: "dabke", Revision: 2, Created: 2, Limits: limits, Share: 1}
 }
 
@@ -68,13 +69,13 @@
 		server.Close()
 		s.duties.Wait()
 	})
-	s.awaitOpen()
+	s.awaitGrants()
 	return s
 }
 
-// awaitOpen returns once the owner grants. A new owner waits until no earlier
-// one's shares can be in use.
-func (s *site) awaitOpen() {
+// awaitGrants returns when the owner grants shares. A new owner first waits
+// until no share granted by an earlier owner can be in use.
+func (s *site) awaitGrants() {
 	l, stop := s.entry("first", s.address)
 	permit, refused := l.Admit(s.ctx, s.ask(1))
 	for refused != nil {
@@ -84,7 +85,7 @@
 	stop()
 }
 
-// entry starts a limiter; stop hands its shares back.
+// entry starts a limiter. stop returns its shares to the owner.
 func (s *site) entry(name string, peers ...string) (l *limiter.Limiter, stop func()) {
 	l = limiter.New(limiter.Options{Instance: name, Peers: peers, Quota: quota.DefaultOptions()}, s, zap.NewNop())
 	s.duties.Go(func() { l.Run(s.ctx) })
@@ -96,33 +97,33 @@
 	return entry.Ask{Contract: agreed, Generated: tokens}
 }
 
-func generous() contract.Limits {
+func testLimits() contract.Limits {
 	return contract.Limits{RequestsPerSecond: 1000, TokensPerMinute: 60_000, Concurrency: 2, MaxWait: time.Second}
 }
 
-// Two entries serve one customer. Were each to count by itself, the customer
-// would have twice its concurrency.
+// Two entries serve one customer. If each counted separately, the customer
+// would get twice its concurrency.
 func TestConcurrencyHoldsAcrossEntries(t *testing.T) {
-	s := startSite(t, sample(generous()))
+	s := startSite(t, testContract(testLimits()))
 	a, _ := s.entry("a", s.address)
 	b, stopB := s.entry("b", s.address)
 	first, refused := a.Admit(s.ctx, s.ask(1))
 	if refused != nil {
-		t.Fatalf("first: %+v", refused)
+		t.Fatalf("first request refused: %+v", refused)
 	}
 	second, refused := b.Admit(s.ctx, s.ask(1))
 	if refused != nil {
-		t.Fatalf("second: %+v", refused)
+		t.Fatalf("second request refused: %+v", refused)
 	}
 	for _, l := range []*limiter.Limiter{a, b} {
 		_, refused := l.Admit(s.ctx, s.ask(1))
 		if refused == nil || refused.Clause != contract.ClauseConcurrency {
-			t.Fatalf("third: %+v", refused)
+			t.Fatalf("third request: got %+v, want a refusal for concurrency", refused)
 		}
 	}
 	second.Settle(entry.Use{})
 	stopB()
-	// The slots that b handed back serve a.
+	// The slots that b returned are available to a.
 	third, refused := a.Admit(s.ctx, s.ask(1))
 	for refused != nil {
 		third, refused = a.Admit(s.ctx, s.ask(1))
@@ -132,94 +133,94 @@
 }
 
 func TestRefusalNamesItsClause(t *testing.T) {
-	s := startSite(t, sample(generous()))
+	s := startSite(t, testContract(testLimits()))
 	l, _ := s.entry("a", s.address)
 	if _, refused := l.Admit(s.ctx, s.ask(60_001)); refused == nil || refused.Clause != contract.ClauseTokensPerMinute {
-		t.Errorf("more than a minute's tokens: %+v", refused)
+		t.Errorf("more than the tokens of a minute: got %+v, want a refusal for tokens per minute", refused)
 	}
 	permit, refused := l.Admit(s.ctx, s.ask(60_000))
 	if refused != nil {
-		t.Fatalf("a minute's tokens: %+v", refused)
+		t.Fatalf("the tokens of a minute refused: %+v", refused)
 	}
 	defer permit.Settle(entry.Use{Tokens: 60_000})
 	if _, refused := l.Admit(s.ctx, s.ask(30_000)); refused == nil || refused.Clause != contract.ClauseTokensPerMinute || refused.RetryAfter <= 0 {
-		t.Errorf("half a minute's tokens more: %+v", refused)
+		t.Errorf("tokens of half a minute more: got %+v, want a refusal with a retry time", refused)
 	}
 }
 
-// A caller gives up while its request waits for a slot. If the request kept its
-// place, the slot would be taken for ever by a call that nobody waits for.
-func TestCallerThatLeavesTakesNoSlot(t *testing.T) {
-	limits := generous()
+// A caller gives up while its request waits for a slot. If the request stayed
+// queued, the slot would be taken forever by a call without a caller.
+func TestCancelledRequestTakesNoSlot(t *testing.T) {
+	limits := testLimits()
 	limits.Concurrency, limits.MaxWait = 1, time.Minute
-	s := startSite(t, sample(limits))
+	s := startSite(t, testContract(limits))
 	l, _ := s.entry("a", s.address)
 	first, refused := l.Admit(s.ctx, s.ask(1))
 	if refused != nil {
-		t.Fatalf("%+v", refused)
+		t.Fatalf("refused: %+v", refused)
 	}
-	ctx, leave := context.WithCancel(s.ctx)
+	ctx, cancel := context.WithCancel(s.ctx)
 	var waiting sync.WaitGroup
 	waiting.Go(func() {
 		if _, refused := l.Admit(ctx, s.ask(1)); refused == nil {
 			t.Error("a second request was admitted")
 		}
 	})
-	leave()
+	cancel()
 	waiting.Wait()
 	first.Settle(entry.Use{})
 	next, refused := l.Admit(s.ctx, s.ask(1))
 	if refused != nil {
-		t.Fatalf("%+v", refused)
+		t.Fatalf("refused: %+v", refused)
 	}
 	next.Settle(entry.Use{})
 }
 
-// No control instance answers, so nobody can tell what the customer uses
-// elsewhere. The caller must not be told that it reached a limit.
-func TestWithoutAnOwnerNoClauseIsBlamed(t *testing.T) {
-	s := startSite(t, sample(generous()))
-	held, err := loopback.NewRefuser()
+// No control instance answers, so the customer's use at other entries is
+// unknown. The refusal must not claim that the caller reached a limit.
+func TestRefusalWithoutOwnerNamesNoClause(t *testing.T) {
+	s := startSite(t, testContract(testLimits()))
+	refuser, err := loopback.NewRefuser()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
-	nobody := held.Address()
-	l, _ := s.entry("a", nobody)
+	defer refuser.Close()
+	unreachable := refuser.Address()
+	l, _ := s.entry("a", unreachable)
 	if _, refused := l.Admit(s.ctx, s.ask(1)); refused == nil || refused.Clause != "" {
-		t.Errorf("%+v", refused)
+		t.Errorf("got %+v, want a refusal without a clause", refused)
 	}
-	// The next instance in the list owns the quotas and is found.
-	found, _ := s.entry("b", nobody, s.address)
+	// The next instance in the list owns the quotas and must be found.
+	found, _ := s.entry("b", unreachable, s.address)
 	permit, refused := found.Admit(s.ctx, s.ask(1))
 	if refused != nil {
-		t.Fatalf("%+v", refused)
+		t.Fatalf("refused: %+v", refused)
 	}
 	permit.Settle(entry.Use{})
 }
 
-// An operator cuts a contract while it is in use.
-func TestChangedContractIsInForceWithoutTraffic(t *testing.T) {
-	limits := generous()
+// An operator retires a contract while it is in use and a request is queued.
+func TestRetiredContractRefusesQueuedRequest(t *testing.T) {
+	limits := testLimits()
 	limits.MaxWait = time.Minute
-	s := startSite(t, sample(limits))
+	s := startSite(t, testContract(limits))
 	l, _ := s.entry("a", s.address)
 	for range 2 {
 		if _, refused := l.Admit(s.ctx, s.ask(1)); refused != nil {
-			t.Fatalf("%+v", refused)
+			t.Fatalf("refused: %+v", refused)
 		}
 	}
 	refusals := make(chan *entry.Refusal, 1)
 	var waiting sync.WaitGroup
 	waiting.Go(func() {
-		_, refused := l.Admit(s.ctx, entry.Ask{Contract: sample(limits), Generated: 1})
+		_, refused := l.Admit(s.ctx, entry.Ask{Contract: testContract(limits), Generated: 1})
 		refusals <- refused
 	})
-	retired := sample(limits)
+	retired := testContract(limits)
 	retired.Revision, retired.Retired = 3, true
-	s.put(retired)
+	s.setContract(retired)
 	waiting.Wait()
 	if refused := <-refusals; refused == nil || refused.Clause != contract.ClauseRetired {
-		t.Errorf("%+v", refused)
+		t.Errorf("got %+v, want a refusal for a retired contract", refused)
 	}
 }
--- a/internal/limiter/refusal.go
+++ b/internal/limiter/refusal.go
@@ -8,7 +8,8 @@
 	"github.com/rosemarypass/rosemarypass/internal/entry"
 )
 
-// refusal tells a caller which clause refused it and when to come back.
+// refusal returns the refusal that names the clause and the time after which
+// the caller may retry.
 func refusal(r quota.Refuse, agreed contract.Contract) *entry.Refusal {
 	refused := &entry.Refusal{Clause: r.Clause, RetryAfter: r.RetryAfter, Message: message(r, agreed.Limits)}
 	switch r.Cause {
@@ -18,9 +19,9 @@
 		refused.Clause = ""
 	case quota.CauseRetired:
 		refused.Clause = contract.ClauseRetired
-		refusedCounter(refused.Clause)
+		countRefusal(refused.Clause)
 	default:
-		refusedCounter(r.Clause)
+		countRefusal(r.Clause)
 	}
 	return refused
 }
