--- a/internal/agent/answers_test.go
+++ b/internal/agent/answers_test.go
@@ -108,10 +108,10 @@
 // agent must not send a 200 with an empty body framed as complete, which would
 // look like an engine's empty answer.
 func TestHalfClosedReaderGetsNoAnswer(t *testing.T) {
-	asked := make(chan struct{})
+	requestRead := make(chan struct{})
 	url := startRawEngine(t, func(_ int, _ net.Conn, requests *bufio.Reader) {
 		if readRequest(requests) {
-			close(asked)
+			close(requestRead)
 			_ = readRequest(requests)
 		}
 	})
@@ -122,7 +122,7 @@
 	}
 	defer conn.Close()
 	_, _ = fmt.Fprintf(conn, "POST /v1/completions HTTP/1.1\r\nHost: a\r\n%s: r1\r\nContent-Length: 2\r\n\r\n{}", wire.HeaderRequestID)
-	<-asked
+	<-requestRead
 	_ = conn.(*net.TCPConn).CloseWrite()
 	got, err := io.ReadAll(conn)
 	if len(got) != 0 {
--- a/internal/agent/gate_test.go
+++ b/internal/agent/gate_test.go
@@ -104,9 +104,9 @@
 			var requests sync.WaitGroup
 			for range 100 {
 				model := fmt.Sprintf("m%d@1", random.IntN(5))
-				callerCtx, leave := context.WithTimeout(ctx, time.Duration(random.IntN(120))*time.Millisecond)
+				callerCtx, cancelCaller := context.WithTimeout(ctx, time.Duration(random.IntN(120))*time.Millisecond)
 				requests.Go(func() {
-					defer leave()
+					defer cancelCaller()
 					defer recoverAbort()
 					a.Handler().ServeHTTP(httptest.NewRecorder(), engineRequest(callerCtx, model))
 				})
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -90,7 +90,7 @@
 
 // orderRefusedError is returned if the engine answered that it did not carry
 // out an order. After any other error the order may have been carried out or
-// may still be.
+// may be carried out later.
 type orderRefusedError struct {
 	status int
 	text   string
--- a/internal/agent/permits.go
+++ b/internal/agent/permits.go
@@ -33,10 +33,11 @@
 	renewInterval = time.Second
 	// brokerBackoff is how long a broker is not called after a failed call.
 	brokerBackoff = 3 * time.Second
-	// maxLocalLoads is the maximum number of loads that an agent has in
-	// progress without a permit while no broker answers. With one load each,
-	// the agents of a site together exceed the saturation point of the weight
-	// store, but only a few times over: loads become slower but do not fail.
+	// maxLocalLoads is the number of loads in progress up to which an agent
+	// starts loads without a permit while no broker answers. With one load
+	// each, the agents of a site together exceed the saturation point of the
+	// weight store, but only a few times over: loads become slower but do not
+	// fail.
 	maxLocalLoads = 1
 )
 
@@ -162,16 +163,16 @@
 		brokers = append(brokers, &brokerPeer{client: rpc.NewClient(address, p.rpc...)})
 	}
 	var exchanges sync.WaitGroup
-	tokens := make(chan struct{}, maxExchanges)
+	inFlight := make(chan struct{}, maxExchanges)
 	lastHadContent := false
 	for ctx.Err() == nil {
 		report, hasContent := p.report()
 		if hasContent || lastHadContent {
 			lastHadContent = hasContent
-			tokens <- struct{}{}
+			inFlight <- struct{}{}
 			exchanges.Go(func() {
 				p.exchange(ctx, brokers, report, send)
-				<-tokens
+				<-inFlight
 			})
 		}
 		p.awaitChange(ctx, len(report.Report.Wanted) > 0)
--- a/internal/agent/random_engine_test.go
+++ b/internal/agent/random_engine_test.go
@@ -24,13 +24,13 @@
 	"github.com/rosemarypass/rosemarypass/internal/relay"
 )
 
-// action is what an engine does with one request.
-type action uint8
+// engineAction is what an engine does with one request.
+type engineAction uint8
 
 const (
 	// actionAnswer sends a complete answer; actionBreak breaks off within an
 	// answer.
-	actionAnswer action = iota
+	actionAnswer engineAction = iota
 	actionBreak
 	// actionFail sends a complete error response; actionFailBroken breaks off
 	// within one.
@@ -58,7 +58,7 @@
 
 // scriptedRun is what an engine does with one request.
 type scriptedRun struct {
-	action      action
+	action      engineAction
 	framing     framing
 	status      int
 	contentType string
@@ -100,7 +100,7 @@
 // different runs are distinguishable.
 func newRandomRun(random *rand.Rand, n int) *scriptedRun {
 	r := &scriptedRun{
-		action:  []action{actionAnswer, actionAnswer, actionAnswer, actionAnswer, actionBreak, actionBreak, actionBreak, actionFail, actionFailBroken, actionNotFound, actionWrongModel, actionDrop, actionGarble}[random.IntN(13)],
+		action:  []engineAction{actionAnswer, actionAnswer, actionAnswer, actionAnswer, actionBreak, actionBreak, actionBreak, actionFail, actionFailBroken, actionNotFound, actionWrongModel, actionDrop, actionGarble}[random.IntN(13)],
 		framing: framing(random.IntN(int(framingCount))), status: http.StatusOK, reset: random.IntN(2) == 0, seed: random.Uint64(),
 		pause: []time.Duration{0, 0, 100 * time.Microsecond, time.Millisecond}[random.IntN(4)],
 	}
--- a/internal/agent/seats_test.go
+++ b/internal/agent/seats_test.go
@@ -83,11 +83,11 @@
 		if waited := time.Since(began); waited != 1500*time.Millisecond {
 			t.Errorf("waited %v", waited)
 		}
-		ctx, leave := context.WithCancel(t.Context())
+		ctx, cancelWait := context.WithCancel(t.Context())
 		left := make(chan error)
 		go func() { left <- s.acquire(ctx, seatItem(3, "a", 1, time.Hour)) }()
 		synctest.Wait()
-		leave()
+		cancelWait()
 		if err := <-left; !errors.Is(err, context.Canceled) {
 			t.Errorf("got %v", err)
 		}
