--- a/cmd/rosemaryctl/config.go
+++ b/cmd/rosemaryctl/config.go
@@ -46,7 +46,7 @@
 	return t.waitInForce(ctx, last)
 }
 
-func countOutcomes(report []operator.Imported) (counts map[operator.Outcome]int, last uint64) {
+func countOutcomes(report []operator.ImportResult) (counts map[operator.Outcome]int, last uint64) {
 	counts = make(map[operator.Outcome]int)
 	for _, object := range report {
 		counts[object.Outcome]++
@@ -55,7 +55,7 @@
 	return counts, last
 }
 
-func (t *tool) showImport(report []operator.Imported, counts map[operator.Outcome]int, all bool) {
+func (t *tool) showImport(report []operator.ImportResult, counts map[operator.Outcome]int, all bool) {
 	var rows [][]string
 	for _, object := range report {
 		if all || object.Outcome != operator.Unchanged {
--- a/cmd/rosemaryctl/main.go
+++ b/cmd/rosemaryctl/main.go
@@ -144,7 +144,7 @@
 	}
 	options := operator.Options{URLs: urls, Key: args.OperatorKey, Operation: args.Operation}
 	if args.Authority != "" {
-		client, err := operator.Trusting(args.Authority)
+		client, err := operator.NewHTTPClient(args.Authority)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/rosemaryctl/main_test.go
+++ b/cmd/rosemaryctl/main_test.go
@@ -42,7 +42,7 @@
 	peers := rpc.NewServer(c.Handlers())
 	go func() { _ = peers.Serve(t.Context(), listener) }()
 	go c.Run(t.Context())
-	quotas := control.NewQuotas(quota.DefaultOptions(), c.SoleOwnership(), c.Agreed, zap.NewNop())
+	quotas := control.NewQuotas(quota.DefaultOptions(), c.SoleOwnership(), c.ActiveContract, zap.NewNop())
 	c.UseQuotas(quotas)
 	go quotas.Run(t.Context())
 	operatorServer := httptest.NewServer(c.OperatorHandler())
--- a/cmd/rosemaryctl/output.go
+++ b/cmd/rosemaryctl/output.go
@@ -82,10 +82,10 @@
 	for _, daemon := range report.Waiting {
 		fmt.Fprintf(t.out, "waiting for %s, at index %d, %s\n", daemon.Name, daemon.ConfigIndex, daemon.Freshness.Kind)
 	}
-	for _, daemon := range report.Lost {
-		fmt.Fprintf(t.out, "lost: %s, unseen for %s; it admits nothing without a proof\n", daemon.Name, formatDuration(daemon.Unseen))
+	for _, daemon := range report.Expired {
+		fmt.Fprintf(t.out, "lost: %s, unseen for %s; it admits nothing without a proof\n", daemon.Name, formatDuration(daemon.SinceLastCall))
 	}
-	for _, instance := range report.Silent {
+	for _, instance := range report.Unresponsive {
 		fmt.Fprintf(t.out, "control instance %s does not answer; daemons that follow only it are unknown\n", instance)
 	}
 }
--- a/cmd/rosemaryctl/status.go
+++ b/cmd/rosemaryctl/status.go
@@ -112,7 +112,7 @@
 			liveness = "lost"
 		}
 		rows = append(rows, []string{
-			daemon.Name, string(daemon.Scope), liveness, formatDuration(daemon.Unseen), fmt.Sprint(daemon.ConfigIndex), fmt.Sprint(max(lag, 0)),
+			daemon.Name, string(daemon.Scope), liveness, formatDuration(daemon.SinceLastCall), fmt.Sprint(daemon.ConfigIndex), fmt.Sprint(max(lag, 0)),
 			string(daemon.Freshness.Kind), daemon.Freshness.Reason,
 		})
 	}
--- a/coord/backoff/backoff_test.go
+++ b/coord/backoff/backoff_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestTrouble(t *testing.T) {
+func TestOutage(t *testing.T) {
 	var trouble Outage
 	first := time.Unix(1, 0)
 	if got := trouble.Failed(first); got != 0 {
@@ -79,7 +79,7 @@
 	})
 }
 
-func TestPatience(t *testing.T) {
+func TestTimeout(t *testing.T) {
 	for outage, want := range map[time.Duration]time.Duration{0: time.Second, 3 * time.Second: 1500 * time.Millisecond, time.Minute: 5 * time.Second} {
 		if got := Timeout(time.Second, 5*time.Second, outage); got != want {
 			t.Errorf("after %s of failures the timeout is %s, want %s", outage, got, want)
--- a/coord/dispatch/dispatch.go
+++ b/coord/dispatch/dispatch.go
@@ -147,7 +147,7 @@
 	for pass := range 2 {
 		for i := range candidates {
 			c := &candidates[i]
-			// The second pass includes barred servers: they are better than no
+			// The second pass includes servers in backoff: they are better than no
 			// server.
 			if !c.Model || c.InBackoff && pass == 0 {
 				continue
--- a/coord/dispatch/dispatch_test.go
+++ b/coord/dispatch/dispatch_test.go
@@ -31,8 +31,8 @@
 		{"outdated version in use", func(first, second *Candidate) { first.Residence, second.Residence = Stale, Absent }, 1},
 		{"server already tried", func(first, _ *Candidate) { first.ID = "tried" }, 1},
 		{"server with failures", func(first, _ *Candidate) { first.FailureShare = 0.4 }, 1},
-		{"barred server", func(first, _ *Candidate) { first.InBackoff = true }, 1},
-		{"barred server if there is no other", func(first, second *Candidate) { first.InBackoff, second.Model = true, false }, 0},
+		{"server in backoff", func(first, _ *Candidate) { first.InBackoff = true }, 1},
+		{"server in backoff if there is no other", func(first, second *Candidate) { first.InBackoff, second.Model = true, false }, 0},
 		{"full batch", func(first, _ *Candidate) { first.Running = 48 }, 1},
 		{"full memory", func(first, _ *Candidate) { first.Tokens, first.MemoryTokens = 95, 100 }, 1},
 	}
@@ -82,22 +82,22 @@
 	}
 }
 
-func TestUnreachableServerIsBarredWithBackoff(t *testing.T) {
+func TestUnreachableServerBacksOff(t *testing.T) {
 	var h Health
 	now := time.Unix(1000, 0)
 	h.Unreachable(now)
 	if !h.InBackoff(now) || h.InBackoff(now.Add(initialBackoff)) {
-		t.Error("after one failure the server should be barred for the initial backoff only")
+		t.Error("after one failure the server should be in backoff for the initial backoff only")
 	}
 	for range 20 {
 		h.Unreachable(now)
 	}
 	if !h.InBackoff(now.Add(maxBackoff-1)) || h.InBackoff(now.Add(maxBackoff)) {
-		t.Error("after many failures the server should be barred for the maximum backoff")
+		t.Error("after many failures the server should be in backoff for the maximum backoff")
 	}
 	h.Answered(time.Millisecond)
 	if h.InBackoff(now) {
-		t.Error("the server answered and is still barred")
+		t.Error("the server answered and is still in backoff")
 	}
 }
 
--- a/coord/outcome/outcome.go
+++ b/coord/outcome/outcome.go
@@ -60,8 +60,8 @@
 	// Refused reports whether the next hop, a gate of this system, confirmed that
 	// it did not forward the request.
 	Refused bool
-	// Whole reports whether the complete answer was relayed.
-	Whole bool
+	// Complete reports whether the complete answer was relayed.
+	Complete bool
 }
 
 // Decide derives the outcome from the evidence. It is the only place that does so.
@@ -70,7 +70,7 @@
 	switch {
 	case !e.Sent || e.Refused:
 		return NotRun
-	case e.Whole:
+	case e.Complete:
 		return Answered
 	default:
 		return Unknown
--- a/coord/roster/roster.go
+++ b/coord/roster/roster.go
@@ -66,8 +66,8 @@
 // Entry is a server as known to this daemon.
 type Entry struct {
 	Server
-	// Heard is when the newest announcement arrived at this daemon.
-	Heard time.Time
+	// LastHeard is when the newest announcement arrived at this daemon.
+	LastHeard time.Time
 	// Change is the number of this roster's change that last updated the entry;
 	// higher numbers are newer.
 	Change uint64
@@ -118,7 +118,7 @@
 	}
 	material = !ok || known.Born != s.Born || known.Leaving != s.Leaving || known.Gone != s.Gone || known.Address != s.Address ||
 		known.Service != s.Service || !slices.Equal(known.Models, s.Models)
-	entry := &Entry{Server: s, Heard: now}
+	entry := &Entry{Server: s, LastHeard: now}
 	switch {
 	case material:
 		r.recordMaterial(entry, now)
@@ -148,7 +148,7 @@
 	s := known.Server
 	s.Sequence = b.Sequence
 	// ColdMillis was relative to the time of the last announcement.
-	s.ColdMillis = max(s.ColdMillis-now.Sub(known.Heard).Milliseconds(), 0)
+	s.ColdMillis = max(s.ColdMillis-now.Sub(known.LastHeard).Milliseconds(), 0)
 	if _, material := r.Apply(s, now); !material {
 		// The sender has already limited the rate of heartbeats, and other
 		// daemons depend on this one to forward them.
@@ -216,7 +216,7 @@
 		return Server{}, false
 	}
 	if !e.Gone {
-		e.Gone, e.Leaving, e.Heard = true, true, now
+		e.Gone, e.Leaving, e.LastHeard = true, true, now
 		r.recordMaterial(e, now)
 	}
 	return e.Server, true
@@ -259,7 +259,7 @@
 		if e.Gone {
 			limit = gone
 		}
-		if !e.Heard.Before(limit) {
+		if !e.LastHeard.Before(limit) {
 			continue
 		}
 		if !e.Gone && !e.Leaving {
--- a/coord/roster/roster_test.go
+++ b/coord/roster/roster_test.go
@@ -104,7 +104,7 @@
 	if changed := r.Since(seen); len(changed) != 0 {
 		t.Errorf("a heartbeat soon after the previous one is listed as a change: %v", changed)
 	}
-	if e, _ := r.Get("a"); !e.Heard.Equal(soon) || e.Sequence != 2 {
+	if e, _ := r.Get("a"); !e.LastHeard.Equal(soon) || e.Sequence != 2 {
 		t.Errorf("after the heartbeat: %+v, want it applied nevertheless", e)
 	}
 	r.Apply(Server{ID: "a", Born: 1, Sequence: 3, Address: "a:1"}, later)
@@ -126,7 +126,7 @@
 // Most heartbeats reach other daemons only as a Heartbeat. It must keep the server
 // listed, must not revive a terminated incarnation, and must not count as the
 // announcement of an unknown one.
-func TestBeatKeepsServerListed(t *testing.T) {
+func TestHeartbeatKeepsServerListed(t *testing.T) {
 	r := New()
 	r.Apply(Server{ID: "a", Born: 2, Sequence: 4, Address: "a:1", ColdMillis: 3000}, start)
 	now := start.Add(time.Second)
@@ -150,13 +150,13 @@
 			t.Errorf("%s: entry is %+v", test.name, e)
 		}
 	}
-	if e, _ := r.Get("a"); !e.Heard.Equal(now) || e.ColdMillis != 2000 {
-		t.Errorf("after the beat: %+v, want it heard now and cold for 2 s more", e)
+	if e, _ := r.Get("a"); !e.LastHeard.Equal(now) || e.ColdMillis != 2000 {
+		t.Errorf("after the heartbeat: %+v, want it heard now and cold for 2 s more", e)
 	}
 	r.Leave("a", now)
 	r.ApplyHeartbeat(Heartbeat{ID: "a", Born: 2, Sequence: 8}, now)
 	if len(r.Serving()) != 0 {
-		t.Error("a beat revived a server that had left")
+		t.Error("a heartbeat revived a server that had left")
 	}
 }
 
--- a/coord/slots/slots.go
+++ b/coord/slots/slots.go
@@ -116,10 +116,10 @@
 }
 
 const (
-	defaultHalfLife = time.Minute
-	defaultPatience = 2 * time.Second
-	defaultRetryMin = time.Second
-	defaultRetryMax = time.Minute
+	defaultHalfLife          = time.Minute
+	defaultStarvationTimeout = 2 * time.Second
+	defaultRetryMin          = time.Second
+	defaultRetryMax          = time.Minute
 )
 
 type phase uint8
@@ -191,7 +191,7 @@
 // NewTable returns an empty table.
 func NewTable(options Options) *Table {
 	options.HalfLife = cmp.Or(options.HalfLife, defaultHalfLife)
-	options.StarvationTimeout = cmp.Or(options.StarvationTimeout, defaultPatience)
+	options.StarvationTimeout = cmp.Or(options.StarvationTimeout, defaultStarvationTimeout)
 	options.RetryMin = cmp.Or(options.RetryMin, defaultRetryMin)
 	options.RetryMax = cmp.Or(options.RetryMax, defaultRetryMax)
 	return &Table{
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -114,7 +114,7 @@
 	if err != nil {
 		return answer{body: err.Error()}
 	}
-	return answer{id: id, status: response.StatusCode, model: response.Header.Get(wire.HeaderRan), outcome: response.Header.Get(outcome.Header), body: string(data)}
+	return answer{id: id, status: response.StatusCode, model: response.Header.Get(wire.HeaderServedModel), outcome: response.Header.Get(outcome.Header), body: string(data)}
 }
 
 func (b *backend) mustAnswer(t *testing.T, url, model string) {
@@ -161,7 +161,7 @@
 	// stopped.
 	finished := make(chan answer, 1)
 	go func() { finished <- complete(long, b.engineURL, "a@1", "3000") }()
-	eventually(t, "long request is running", func() bool { return len(b.engine.Ran()) == 3 })
+	eventually(t, "long request is running", func() bool { return len(b.engine.Started()) == 3 })
 	stop()
 
 	url, _ = b.startAgent(t, 2)
--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -119,7 +119,7 @@
 		// would have to read it before the refusal could be sent.
 		return refusal(http.StatusBadRequest, err.Error()).WithConnectionClose()
 	}
-	leave, err := a.isolation.enter(r.Context(), r.Header.Get(wire.HeaderAlone) != "")
+	leave, err := a.isolation.enter(r.Context(), r.Header.Get(wire.HeaderIsolated) != "")
 	if err != nil {
 		return refusal(http.StatusServiceUnavailable, err.Error())
 	}
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -177,7 +177,7 @@
 			return
 		}
 		content = full
-		response.Header.Set(wire.HeaderRan, model)
+		response.Header.Set(wire.HeaderServedModel, model)
 	}
 	started.setHead(runHead{outcome: outcome.Answered, status: response.StatusCode, header: response.Header, length: response.ContentLength})
 	if err := started.pump(ctx, relay.VerifyEnd(response, content), response); err != nil {
--- a/internal/answer/writers_test.go
+++ b/internal/answer/writers_test.go
@@ -13,7 +13,7 @@
 // allowedWriters lists the files outside this package that use a connection directly:
 // those that pass it to this package, and those that serve operators and tests.
 var allowedWriters = []string{
-	"internal/agent/gate.go", "internal/entry/visit.go", "internal/gateway/gateway.go",
+	"internal/agent/gate.go", "internal/entry/inbound.go", "internal/gateway/gateway.go",
 	"internal/control/", "internal/fleet/fleet.go", "internal/standin/",
 }
 
--- a/internal/control/daemons.go
+++ b/internal/control/daemons.go
@@ -76,7 +76,7 @@
 			delete(t.records, name)
 			continue
 		}
-		record.Unseen = unseen
+		record.SinceLastCall = unseen
 		record.Lost = unseen > t.lostAfter(record)
 		all = append(all, record.Daemon)
 	}
--- a/internal/control/operator_test.go
+++ b/internal/control/operator_test.go
@@ -163,7 +163,7 @@
 	first := c.propose(0, putContract(0, 1))
 	watch(t, c.members[0].control, wire.Watch{Daemon: "entry-gone", Freshness: freshness.State{Kind: freshness.Fresh}})
 	report, err := client.InForce(context.Background(), first.Index, 10*time.Second)
-	if err != nil || !report.Done || len(report.Lost) != 1 || report.Lost[0].Name != "entry-gone" {
+	if err != nil || !report.Done || len(report.Expired) != 1 || report.Expired[0].Name != "entry-gone" {
 		t.Errorf("%+v, %v", report, err)
 	}
 }
--- a/internal/control/quota.go
+++ b/internal/control/quota.go
@@ -217,8 +217,8 @@
 	}}
 }
 
-// Agreed returns a contract if it exists and is not retired.
-func (c *Control) Agreed(id string) (contract.Contract, bool) {
+// ActiveContract returns a contract if it exists and is not retired.
+func (c *Control) ActiveContract(id string) (contract.Contract, bool) {
 	found, ok := c.Contract(id)
 	return found, ok && !found.Retired
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -98,7 +98,7 @@
 	latest := make(map[string]wire.Daemon)
 	for _, daemon := range slices.Concat(lists...) {
 		known, seen := latest[daemon.Name]
-		if !seen || daemon.Unseen < known.Unseen {
+		if !seen || daemon.SinceLastCall < known.SinceLastCall {
 			latest[daemon.Name] = daemon
 		}
 	}
@@ -120,7 +120,7 @@
 	}
 	millis, _ := strconv.ParseInt(r.URL.Query().Get("waitMillis"), 10, 64)
 	started := time.Now()
-	limit := min(time.Duration(millis)*time.Millisecond, operator.WaitLimit)
+	limit := min(time.Duration(millis)*time.Millisecond, operator.MaxWait)
 	for {
 		report := c.inForce(r.Context(), index, time.Since(started))
 		if report.Done || time.Since(started) >= limit || r.Context().Err() != nil {
@@ -142,12 +142,12 @@
 
 func (c *Control) inForce(ctx context.Context, index uint64, waited time.Duration) operator.InForce {
 	view := c.queryPeers(ctx)
-	report := operator.InForce{Index: index, Silent: view.unreachable}
+	report := operator.InForce{Index: index, Unresponsive: view.unreachable}
 	for _, daemon := range view.daemons {
 		switch {
 		case daemon.ConfigIndex >= index:
 		case daemon.Lost:
-			report.Lost = append(report.Lost, daemon)
+			report.Expired = append(report.Expired, daemon)
 		default:
 			report.Waiting = append(report.Waiting, daemon)
 		}
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -39,7 +39,7 @@
 		_ = listener.Close()
 		return err
 	}
-	quotas := control.NewQuotas(quota.DefaultOptions(), ownership, c.Agreed, d.log)
+	quotas := control.NewQuotas(quota.DefaultOptions(), ownership, c.ActiveContract, d.log)
 	c.UseQuotas(quotas)
 	maps.Copy(handlers, quotas.Handlers())
 	d.background.Go(func() { quotas.Run(ctx) })
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -64,11 +64,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Daemon{settings: s, log: log, stop: cancel, addresses: make(map[string]string)}
 	flush, err := telemetry.StartTraces(ctx, telemetry.TraceOptions{
-		Target:   telemetry.TraceTarget(s.Telemetry.Traces),
-		Path:     s.Telemetry.TraceFile,
-		Endpoint: s.Telemetry.TraceEndpoint,
-		Instance: s.Instance,
-		Share:    s.Telemetry.TraceShare,
+		Target:      telemetry.TraceTarget(s.Telemetry.Traces),
+		Path:        s.Telemetry.TraceFile,
+		Endpoint:    s.Telemetry.TraceEndpoint,
+		Instance:    s.Instance,
+		SampleRatio: s.Telemetry.TraceShare,
 	})
 	if err != nil {
 		cancel()
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -301,7 +301,7 @@
 	if tlsFiles == nil {
 		return http.DefaultClient, "http", nil
 	}
-	client, err := operator.Trusting(tlsFiles.Authority)
+	client, err := operator.NewHTTPClient(tlsFiles.Authority)
 	return client, "https", err
 }
 
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -104,7 +104,7 @@
 			t.Errorf("%s: outcome %q", c.name, got)
 		}
 	}
-	if ran := d.Engine.Ran(); len(ran) != 0 {
+	if ran := d.Engine.Started(); len(ran) != 0 {
 		t.Errorf("the engine ran %v", ran)
 	}
 	if calls := d.Service.Calls(); len(calls) != 0 {
--- a/internal/demo/stop_test.go
+++ b/internal/demo/stop_test.go
@@ -39,7 +39,7 @@
 func awaitRunning(t *testing.T, d *demo.Demo, n int) {
 	t.Helper()
 	for range 1000 {
-		if len(d.Engine.Ran()) >= n {
+		if len(d.Engine.Started()) >= n {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/internal/demo/tls_test.go
+++ b/internal/demo/tls_test.go
@@ -86,7 +86,7 @@
 			t.Error("the agent served a process without a certificate")
 		}
 	}
-	if ran := d.Engine.Ran(); len(ran) != 1 {
+	if ran := d.Engine.Started(); len(ran) != 1 {
 		t.Errorf("the engine ran %d requests, want 1", len(ran))
 	}
 }
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -18,11 +18,11 @@
 	// Admit blocks until the contract allows the request. It refuses immediately if
 	// the wait would certainly exceed the contract's longest wait, and otherwise
 	// when that wait has elapsed.
-	Admit(ctx context.Context, ask Ask) (Permit, *Refusal)
+	Admit(ctx context.Context, ask AdmissionRequest) (Permit, *Refusal)
 }
 
-// Ask describes a request that asks for admission.
-type Ask struct {
+// AdmissionRequest describes a request that asks for admission.
+type AdmissionRequest struct {
 	Contract contract.Contract
 	// Prompt and Generated are upper estimates of the tokens that the request uses;
 	// both are 0 for a call to a plain service.
@@ -31,17 +31,17 @@
 }
 
 // Tokens returns the upper estimate of all tokens that the request uses.
-func (a Ask) Tokens() int64 { return a.Prompt + a.Generated }
+func (a AdmissionRequest) Tokens() int64 { return a.Prompt + a.Generated }
 
 // Permit is held while a request runs.
 type Permit interface {
 	// Settle releases the permit and reports the actual use. It must be called
 	// exactly once.
-	Settle(use Use)
+	Settle(use Usage)
 }
 
-// Use is what a request actually used.
-type Use struct {
+// Usage is what a request actually used.
+type Usage struct {
 	// NotRun is true if the request certainly did not run. It is then not charged
 	// to any clause of the contract.
 	NotRun bool
@@ -81,8 +81,8 @@
 // unlimited admits every request. It is used if no admission is configured.
 type unlimited struct{}
 
-func (unlimited) Admit(context.Context, Ask) (Permit, *Refusal) { return unlimited{}, nil }
-func (unlimited) Settle(Use)                                    {}
+func (unlimited) Admit(context.Context, AdmissionRequest) (Permit, *Refusal) { return unlimited{}, nil }
+func (unlimited) Settle(Usage)                                               {}
 
 // admit sends a call under a permit, which is settled with the outcome of the
 // answer that the caller received. The claim of a call that must run at most once
@@ -93,7 +93,7 @@
 	return e.withPermit(in, r, c.ask, func() reply { return e.send(in, r, c) })
 }
 
-func (e *Entry) withPermit(in *inbound, r *http.Request, ask Ask, run func() reply) reply {
+func (e *Entry) withPermit(in *inbound, r *http.Request, ask AdmissionRequest, run func() reply) reply {
 	permit, refusal := e.options.Admission.Admit(r.Context(), ask)
 	if refusal != nil && r.Context().Err() != nil {
 		return in.fail(noAnswer(r.Context(), false))
@@ -111,7 +111,7 @@
 
 // setContractHeaders passes the contract's ID, share and priority and the request's
 // cost to the next hops, so that their queues are fair across contracts.
-func setContractHeaders(header http.Header, ask Ask) {
+func setContractHeaders(header http.Header, ask AdmissionRequest) {
 	header.Set(wire.HeaderContract, ask.Contract.ID)
 	header.Set(wire.HeaderShare, strconv.Itoa(ask.Contract.Share))
 	header.Set(wire.HeaderPriority, strconv.Itoa(ask.Contract.Priority))
@@ -131,7 +131,7 @@
 // newAsk returns an upper estimate of a completion's use. The size of the body
 // bounds the prompt, because no tokenizer produces more tokens than the prompt has
 // bytes.
-func newAsk(customer contract.Contract, body callerBody, bodyBytes int) Ask {
+func newAsk(customer contract.Contract, body callerBody, bodyBytes int) AdmissionRequest {
 	generated := max(body.MaxTokens, body.MaxCompletionTokens)
 	if generated <= 0 {
 		generated = defaultMaxTokens
@@ -140,7 +140,7 @@
 	// contract would be credited with tokens instead of charged.
 	generated = min(generated, maxEstimate)
 	choices := min(max(body.N, 1), maxChoices)
-	return Ask{Contract: customer, Prompt: int64(bodyBytes), Generated: generated * choices}
+	return AdmissionRequest{Contract: customer, Prompt: int64(bodyBytes), Generated: generated * choices}
 }
 
 // tailSize is how much of the end of an answer is kept to find its usage object, in
@@ -165,11 +165,11 @@
 	}
 }
 
-func (m *meter) usage() Use {
+func (m *meter) usage() Usage {
 	if m.notRun {
-		return Use{NotRun: true}
+		return Usage{NotRun: true}
 	}
-	return Use{Tokens: reportedTokens(m.tail), Events: m.events}
+	return Usage{Tokens: reportedTokens(m.tail), Events: m.events}
 }
 
 var usageKey = []byte(`"usage":`)
--- a/internal/entry/admission_test.go
+++ b/internal/entry/admission_test.go
@@ -20,17 +20,17 @@
 // fakeAdmission records how its permits are settled.
 type fakeAdmission struct {
 	refusal *Refusal
-	settled []Use
+	settled []Usage
 }
 
-func (f *fakeAdmission) Admit(context.Context, Ask) (Permit, *Refusal) {
+func (f *fakeAdmission) Admit(context.Context, AdmissionRequest) (Permit, *Refusal) {
 	if f.refusal != nil {
 		return nil, f.refusal
 	}
 	return f, nil
 }
 
-func (f *fakeAdmission) Settle(use Use) { f.settled = append(f.settled, use) }
+func (f *fakeAdmission) Settle(use Usage) { f.settled = append(f.settled, use) }
 
 // streamReply returns a server's answer that is streamed in pieces and may be cut.
 func streamReply(in *inbound, end answer.End, pieces ...string) reply {
@@ -48,29 +48,29 @@
 	cases := []struct {
 		name   string
 		answer func(*inbound) reply
-		want   Use
+		want   Usage
 	}{
 		{"complete answer with usage", func(in *inbound) reply {
 			return streamReply(in, complete, `{"choices":[],"usage":{"prompt_tokens":2,"total_tokens":9}}`)
-		}, Use{Tokens: 9}},
+		}, Usage{Tokens: 9}},
 		{"stream without usage", func(in *inbound) reply {
 			return streamReply(in, complete, "data: {}\n\n", "data: {}\n\n", "data: {}\n\n")
-		}, Use{Events: 3}},
-		{"stream that breaks off", func(in *inbound) reply { return streamReply(in, answer.Cut, "data: {}\n\n") }, Use{Events: 1}},
+		}, Usage{Events: 3}},
+		{"stream that breaks off", func(in *inbound) reply { return streamReply(in, answer.Cut, "data: {}\n\n") }, Usage{Events: 1}},
 		{"usage at the end of a long stream", func(in *inbound) reply {
 			return streamReply(in, complete, strings.Repeat("x", 3*tailSize), `data: {"usage":{"total_to`, "kens\":40}}\n\n")
-		}, Use{Tokens: 40, Events: 1}},
+		}, Usage{Tokens: 40, Events: 1}},
 		{"not run", func(in *inbound) reply {
 			return in.fail(failure{status: http.StatusServiceUnavailable, code: codeNoServer})
-		}, Use{NotRun: true}},
-		{"broken off before the header", func(*inbound) reply { panic(http.ErrAbortHandler) }, Use{}},
-		{"usage that is not an object", func(in *inbound) reply { return streamReply(in, complete, `"usage":-`) }, Use{}},
+		}, Usage{NotRun: true}},
+		{"broken off before the header", func(*inbound) reply { panic(http.ErrAbortHandler) }, Usage{}},
+		{"usage that is not an object", func(in *inbound) reply { return streamReply(in, complete, `"usage":-`) }, Usage{}},
 	}
 	for _, c := range cases {
 		admission := &fakeAdmission{}
 		e := admittingEntry(admission)
 		handler := e.serve(func(in *inbound, r *http.Request) reply {
-			result := e.withPermit(in, r, Ask{}, func() reply { return c.answer(in) })
+			result := e.withPermit(in, r, AdmissionRequest{}, func() reply { return c.answer(in) })
 			if len(admission.settled) > 0 {
 				t.Errorf("%s: settled before the answer was written", c.name)
 			}
@@ -100,7 +100,7 @@
 	e := admittingEntry(&fakeAdmission{refusal: refusal})
 	recorder := httptest.NewRecorder()
 	e.serve(func(in *inbound, r *http.Request) reply {
-		return e.withPermit(in, r, Ask{}, func() reply {
+		return e.withPermit(in, r, AdmissionRequest{}, func() reply {
 			t.Error("refused request ran")
 			return reply{}
 		})
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -97,7 +97,7 @@
 		return reported
 	}
 	succeeded := response.StatusCode < http.StatusBadRequest
-	if c.request.Kind == membership.KindEngine && succeeded && response.Header.Get(wire.HeaderRan) != c.request.Ref.String() {
+	if c.request.Kind == membership.KindEngine && succeeded && response.Header.Get(wire.HeaderServedModel) != c.request.Ref.String() {
 		wrongModelCount.Add(1)
 		return outcome.Unknown
 	}
@@ -117,7 +117,7 @@
 		wrongModelCount.Add(1)
 		return false
 	}
-	response.Header.Set(wire.HeaderRan, ranModel)
+	response.Header.Set(wire.HeaderServedModel, ranModel)
 	response.Body = readCloser{body, response.Body}
 	return true
 }
--- a/internal/entry/backend_test.go
+++ b/internal/entry/backend_test.go
@@ -370,7 +370,7 @@
 		if r.action == actionOtherModel {
 			ran = baseModel
 		}
-		lines = append(lines, wire.HeaderRan+": "+ran)
+		lines = append(lines, wire.HeaderServedModel+": "+ran)
 	}
 	return head(status, lines...)
 }
--- a/internal/entry/caller.go
+++ b/internal/entry/caller.go
@@ -16,11 +16,11 @@
 
 // internalHeaders are used between entries and agents only.
 var internalHeaders = []string{
-	outcome.Header, wire.HeaderModel, wire.HeaderRan, wire.HeaderFencing,
+	outcome.Header, wire.HeaderModel, wire.HeaderServedModel, wire.HeaderFencing,
 	wire.HeaderIncarnation, agent.HeaderSource, wire.HeaderClause, wire.HeaderContract,
 	wire.HeaderMayDecline, wire.HeaderDeclined,
 	wire.HeaderShare, wire.HeaderPriority, wire.HeaderMaxWait, wire.HeaderCost,
-	wire.HeaderFingerprint, wire.HeaderAlone, wire.HeaderCrashed,
+	wire.HeaderFingerprint, wire.HeaderIsolated, wire.HeaderCrashed,
 }
 
 // dropInternal removes the headers that only processes of this system may set.
--- a/internal/entry/decline_test.go
+++ b/internal/entry/decline_test.go
@@ -32,7 +32,7 @@
 	}
 	a.runs.Add(1)
 	w.Header().Set(outcome.Header, outcome.Answered.String())
-	w.Header().Set(wire.HeaderRan, model)
+	w.Header().Set(wire.HeaderServedModel, model)
 	_, _ = io.WriteString(w, "whole")
 }
 
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -131,14 +131,14 @@
 
 // callerHeader returns the header for the caller, derived from the server's header.
 func (x *exchange) callerHeader(from http.Header) http.Header {
-	ran := from.Get(wire.HeaderRan)
+	ran := from.Get(wire.HeaderServedModel)
 	from = from.Clone()
 	dropInternal(from)
 	from.Del(wire.HeaderRequestID)
 	header := x.inbound.newHeader()
 	relay.CopyHeader(header, from)
 	if x.call.request.Kind == membership.KindEngine {
-		header.Set(wire.HeaderRan, ran)
+		header.Set(wire.HeaderServedModel, ran)
 	}
 	header.Set(outcome.Header, outcome.Answered.String())
 	return header
--- a/internal/entry/framing_test.go
+++ b/internal/entry/framing_test.go
@@ -259,7 +259,7 @@
 
 // agentHead returns the header of an agent's answer from the requested model.
 func agentHead(status int, lines ...string) string {
-	return head(status, append(lines, outcome.Header+": "+outcome.Answered.String(), wire.HeaderRan+": "+model)...)
+	return head(status, append(lines, outcome.Header+": "+outcome.Answered.String(), wire.HeaderServedModel+": "+model)...)
 }
 
 // The connection to an agent is cut in the middle of a draft, and the response to
--- a/internal/entry/visit_test.go
+++ b/internal/entry/inbound_test.go
@@ -11,7 +11,7 @@
 
 // A handler that writes to its caller directly can write a second header, continue
 // a body that was started, or return in the middle of it, and net/http makes the
-// result look complete. Only visit.go may pass a connection on, to the package that
+// result look complete. Only inbound.go may pass a connection on, to the package that
 // writes answers.
 func TestOnlyVisitFileAccessesCallerConnections(t *testing.T) {
 	files, err := os.ReadDir(".")
@@ -35,7 +35,7 @@
 			return true
 		})
 	}
-	if len(seen) != 1 || !seen["visit.go"] {
-		t.Errorf("callers' connections are accessed in %v, want visit.go only", seen)
+	if len(seen) != 1 || !seen["inbound.go"] {
+		t.Errorf("callers' connections are accessed in %v, want inbound.go only", seen)
 	}
 }
--- a/internal/entry/leave_test.go
+++ b/internal/entry/leave_test.go
@@ -25,8 +25,8 @@
 	ask := func() callResult {
 		return call(t, server, http.MethodPost, "/v1/completions", "", completion("x", 2, false))
 	}
-	if got := ask(); got.outcome != outcome.Answered || len(leaving.Ran()) != 1 {
-		t.Fatalf("before the server leaves: outcome %v, it ran %d requests", got.outcome, len(leaving.Ran()))
+	if got := ask(); got.outcome != outcome.Answered || len(leaving.Started()) != 1 {
+		t.Fatalf("before the server leaves: outcome %v, it ran %d requests", got.outcome, len(leaving.Started()))
 	}
 	a.Leave()
 	for range 5 {
@@ -34,8 +34,8 @@
 			t.Errorf("after the server left: status %d, body %s", got.status, got.body)
 		}
 	}
-	if len(leaving.Ran()) != 1 || len(staying.Ran()) != 5 {
-		t.Errorf("the leaving server ran %d requests, the other %d", len(leaving.Ran()), len(staying.Ran()))
+	if len(leaving.Started()) != 1 || len(staying.Started()) != 5 {
+		t.Errorf("the leaving server ran %d requests, the other %d", len(leaving.Started()), len(staying.Started()))
 	}
 }
 
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -109,8 +109,8 @@
 			if got.outcome != c.want || got.status < http.StatusInternalServerError || strings.Contains(got.body, "secret") {
 				t.Errorf("outcome %v, status %d: %s", got.outcome, got.status, got.body)
 			}
-			if len(e.Ran()) != 0 {
-				t.Errorf("ran %v", e.Ran())
+			if len(e.Started()) != 0 {
+				t.Errorf("ran %v", e.Started())
 			}
 		})
 	}
@@ -162,7 +162,7 @@
 	go func() {
 		done <- call(t, server, http.MethodPost, "/v1/completions", "", completion("x", 1<<20, true))
 	}()
-	eventually(t, "the stream starts", func() bool { return len(e.Ran()) == 1 })
+	eventually(t, "the stream starts", func() bool { return len(e.Started()) == 1 })
 	time.Sleep(20 * time.Millisecond)
 	e.Restart()
 	if got := <-done; !got.cut && got.outcome == outcome.Answered {
--- a/internal/entry/resume_test.go
+++ b/internal/entry/resume_test.go
@@ -105,8 +105,8 @@
 		if n := strings.Count(got.body, model+"/"); n != tokens || got.cut || got.outcome != outcome.Answered {
 			t.Errorf("stream %v: %d tokens of %d, cut %v, outcome %v", stream, n, tokens, got.cut, got.outcome)
 		}
-		if len(e.Ran()) != 1 || proxy.count() < 3 {
-			t.Errorf("stream %v: the engine ran %d requests over %d cuts", stream, len(e.Ran()), proxy.count())
+		if len(e.Started()) != 1 || proxy.count() < 3 {
+			t.Errorf("stream %v: the engine ran %d requests over %d cuts", stream, len(e.Started()), proxy.count())
 		}
 	}
 }
@@ -146,7 +146,7 @@
 	if got.outcome != outcome.Answered || got.cut || strings.Count(got.body, model+"/") != 3 {
 		t.Errorf("outcome %v: %s", got.outcome, got.body)
 	}
-	if len(crashing.Ran()) != 1 || len(healthy.Ran()) != 1 {
-		t.Errorf("the crashing engine ran %d requests, the healthy one %d", len(crashing.Ran()), len(healthy.Ran()))
+	if len(crashing.Started()) != 1 || len(healthy.Started()) != 1 {
+		t.Errorf("the crashing engine ran %d requests, the healthy one %d", len(crashing.Started()), len(healthy.Started()))
 	}
 }
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -18,7 +18,7 @@
 	// contract is the ID of the caller's contract.
 	contract string
 	// ask is the admission request of the call.
-	ask        Ask
+	ask        AdmissionRequest
 	path       string
 	body       []byte
 	idempotent bool
--- a/internal/entry/trial.go
+++ b/internal/entry/trial.go
@@ -119,7 +119,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), suspicion.DefaultLimits.TrialLease-trialMargin)
 	in.addCleanup(cancel)
 	alone := r.Clone(ctx)
-	alone.Header.Set(wire.HeaderAlone, "true")
+	alone.Header.Set(wire.HeaderIsolated, "true")
 	result := attempt(alone)
 	if result.outcome != outcome.Answered {
 		cancel()
--- a/internal/entry/trial_test.go
+++ b/internal/entry/trial_test.go
@@ -84,7 +84,7 @@
 	callers.Wait()
 	crashes := 0
 	for _, e := range engines {
-		for _, ran := range e.Ran() {
+		for _, ran := range e.Started() {
 			if ran.Prompt == fmt.Sprintf("%q", crashingPrompt) {
 				crashes++
 			}
--- a/internal/gateway/agents.go
+++ b/internal/gateway/agents.go
@@ -208,29 +208,29 @@
 		if got.err != nil && !rpc.IsPeerError(got.err) {
 			// The start may have been granted and would occupy a slot for a request that goes
 			// to another server.
-			a.notifyDone(r.ID, r.Try)
+			a.notifyDone(r.ID, r.Attempt)
 		}
 		return got.reply, got.err
 	case <-ctx.Done():
-		a.notifyDone(r.ID, r.Try)
+		a.notifyDone(r.ID, r.Attempt)
 		return wire.StartReply{}, ctx.Err()
 	}
 }
 
 // notifyBegun notifies the agent that a request has produced its first event.
 func (a *agentClient) notifyBegun(id string, try int) {
-	a.notify(wire.MethodStartBegun, wire.StartDone{ID: id, Try: try})
+	a.notify(wire.MethodStartFirstEvent, wire.StartDone{ID: id, Attempt: try})
 }
 
 // notifyDone notifies the agent that a request has ended.
 func (a *agentClient) notifyDone(id string, try int) {
-	a.notify(wire.MethodStartDone, wire.StartDone{ID: id, Try: try})
+	a.notify(wire.MethodStartDone, wire.StartDone{ID: id, Attempt: try})
 }
 
 // notifyEnded notifies the agent that a request has ended, and reports the longest gap of its
 // stream and the gap that the route allows.
 func (a *agentClient) notifyEnded(id string, try int, longest, allowed time.Duration) {
-	a.notify(wire.MethodStartDone, wire.StartDone{ID: id, Try: try, PauseMillis: longest.Milliseconds(), AllowedMillis: allowed.Milliseconds()})
+	a.notify(wire.MethodStartDone, wire.StartDone{ID: id, Attempt: try, PauseMillis: longest.Milliseconds(), AllowedMillis: allowed.Milliseconds()})
 }
 
 func (a *agentClient) notify(method string, msg wire.StartDone) {
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -41,7 +41,7 @@
 	defer cancel()
 	x.starts++
 	reply, err := v.agent.admit(ctx, wire.StartRequest{
-		ID: x.call.ID, Try: x.starts, Adapter: x.call.Adapter, Version: x.mesh.Documents().Current().State.Adapters[x.call.Adapter],
+		ID: x.call.ID, Attempt: x.starts, Adapter: x.call.Adapter, Version: x.mesh.Documents().Current().State.Adapters[x.call.Adapter],
 		Rank: x.route.Priority, Prompt: x.call.PromptTokens, Tokens: x.tokens(), Parts: x.call.Parts,
 		TargetMillis: max(x.route.Target-time.Since(x.arrived), 0).Milliseconds(), WaitMillis: left.Milliseconds(),
 	})
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -80,7 +80,7 @@
 	}
 	x.budget.credit(x.service.Name, x.arrived)
 	if x.service.Engine != nil && x.call.Model != "" {
-		x.mesh.NoteDemand(x.call.Model)
+		x.mesh.RecordDemand(x.call.Model)
 	}
 	for r := x.nextReply(); r != nil; r = x.nextReply() {
 		opened, next := x.open(r)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -26,8 +26,8 @@
 	Parse(r *http.Request) Call
 	// Forward returns the header of the request that is sent to a server.
 	Forward(c *Call, hop Hop) http.Header
-	// Judge interprets the header of a server's answer.
-	Judge(status int, header http.Header) Verdict
+	// Classify interprets the header of a server's answer.
+	Classify(status int, header http.Header) Verdict
 	// IDHeader returns the name of the header that carries a request's ID.
 	IDHeader() string
 }
@@ -46,8 +46,8 @@
 	OutputTokens int
 	// Parts are the parts of the prompt in order; requests can have parts in common.
 	Parts []wire.PromptPart
-	// Patience is how long the caller waits; 0 when it did not say.
-	Patience time.Duration
+	// MaxWait is how long the caller waits; 0 when it did not say.
+	MaxWait time.Duration
 	// Method, URI, Host and Header are forwarded.
 	Method string
 	URI    string
@@ -60,8 +60,8 @@
 type Hop struct {
 	// Server is the incarnation that the request is addressed to.
 	Server string
-	// Left is the time left until the caller stops waiting for the answer.
-	Left time.Duration
+	// Remaining is the time left until the caller stops waiting for the answer.
+	Remaining time.Duration
 	// Rank is the request's priority; 0 is the highest.
 	Rank int
 	// Engine is set when the server is a model engine.
@@ -184,7 +184,7 @@
 // route looks up the route of a request and serves the request.
 func (g *Gateway) route(r *http.Request, arrived time.Time) answer.Answer {
 	call := g.edge.Parse(r)
-	if !g.configured() && !g.awaitConfigured(r.Context(), g.startupQueue.options.Latest(arrived, call.Patience)) {
+	if !g.configured() && !g.awaitConfigured(r.Context(), g.startupQueue.options.Latest(arrived, call.MaxWait)) {
 		return g.refuse(&call, g.unconfiguredReason(), minRetryAfter)
 	}
 	table := g.mesh.Documents().Current().Table
@@ -205,8 +205,8 @@
 		return refused
 	}
 	deadline := arrived.Add(found.Timeout)
-	if call.Patience > 0 && call.Patience < found.Timeout {
-		deadline = arrived.Add(call.Patience)
+	if call.MaxWait > 0 && call.MaxWait < found.Timeout {
+		deadline = arrived.Add(call.MaxWait)
 	}
 	x := &exchange{
 		Gateway: g, ctx: r.Context(), call: call, route: found, arrived: arrived, deadline: deadline,
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -312,12 +312,12 @@
 	})
 	a := &agentClient{client: rpc.NewClient(listener.Addr().String())}
 	defer a.client.Close()
-	if _, err := a.admit(t.Context(), wire.StartRequest{ID: "7", Try: 2}); err == nil {
+	if _, err := a.admit(t.Context(), wire.StartRequest{ID: "7", Attempt: 2}); err == nil {
 		t.Fatal("a start was granted without a reply")
 	}
 	select {
 	case in := <-notified:
-		if in.ID != "7" || in.Try != 2 {
+		if in.ID != "7" || in.Attempt != 2 {
 			t.Errorf("the agent was notified of %+v", in)
 		}
 	case <-t.Context().Done():
--- a/internal/gateway/release_test.go
+++ b/internal/gateway/release_test.go
@@ -32,7 +32,7 @@
 	return header
 }
 
-func (plainEdge) Judge(_ int, header http.Header) Verdict {
+func (plainEdge) Classify(_ int, header http.Header) Verdict {
 	return Verdict{Signed: header.Get("Signed") != "", NotRun: header.Get("Not-Run") != ""}
 }
 
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -33,7 +33,7 @@
 	left := time.Until(x.deadline)
 	request := &upstream.Request{
 		Method: x.call.Method, URI: x.call.URI, Host: x.call.Host, Body: x.call.Body, ID: x.call.ID, IDHeader: x.edge.IDHeader(),
-		Header: x.edge.Forward(&x.call, Hop{Server: v.entry.ID, Left: left, Rank: x.route.Priority, Engine: x.service.Engine != nil, LastEvent: x.lastEvent}),
+		Header: x.edge.Forward(&x.call, Hop{Server: v.entry.ID, Remaining: left, Rank: x.route.Priority, Engine: x.service.Engine != nil, LastEvent: x.lastEvent}),
 	}
 	ctx, cancel := context.WithDeadline(x.ctx, x.deadline)
 	x.servers.requestSent(v)
@@ -45,7 +45,7 @@
 		return nil, x.callFailed(v, err)
 	}
 	x.sends++
-	r.response, r.verdict = response, x.edge.Judge(response.Status, response.Header)
+	r.response, r.verdict = response, x.edge.Classify(response.Status, response.Header)
 	if next := x.checkHeader(r, time.Since(sent)); next != stepDone {
 		r.release()
 		return nil, next
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -141,7 +141,7 @@
 	c := dispatch.Candidate{
 		ID: v.entry.ID, DataCentre: v.entry.DataCentre, Batch: v.entry.Slots, Running: v.inflight, Residence: dispatch.Resident, Model: true,
 		Answer: v.health.Answer(), FailureShare: v.health.FailureShare(now), InBackoff: v.health.InBackoff(now),
-		WarmUp: time.Duration(v.entry.ColdMillis)*time.Millisecond - now.Sub(v.entry.Heard),
+		WarmUp: time.Duration(v.entry.ColdMillis)*time.Millisecond - now.Sub(v.entry.LastHeard),
 	}
 	c.WarmUp = max(c.WarmUp, 0)
 	if service.Engine == nil {
--- a/internal/gateway/startup_queue_test.go
+++ b/internal/gateway/startup_queue_test.go
@@ -17,17 +17,17 @@
 	"github.com/rosemarypass/rosemarypass/internal/mesh"
 )
 
-// patienceEdge reads only a caller's patience.
+// patienceEdge reads only how long a caller waits.
 type patienceEdge struct{}
 
 func (patienceEdge) Parse(r *http.Request) Call {
 	millis, _ := strconv.Atoi(r.Header.Get("Patience"))
-	return Call{ID: "r", Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: http.Header{}, Patience: time.Duration(millis) * time.Millisecond}
+	return Call{ID: "r", Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: http.Header{}, MaxWait: time.Duration(millis) * time.Millisecond}
 }
-func (patienceEdge) Forward(*Call, Hop) http.Header { return http.Header{} }
-func (patienceEdge) Judge(int, http.Header) Verdict { return Verdict{Signed: true} }
-func (patienceEdge) IDHeader() string               { return "Request-Id" }
-func decodeEmpty([]byte) (*route.Document, error)   { return &route.Document{}, nil }
+func (patienceEdge) Forward(*Call, Hop) http.Header    { return http.Header{} }
+func (patienceEdge) Classify(int, http.Header) Verdict { return Verdict{Signed: true} }
+func (patienceEdge) IDHeader() string                  { return "Request-Id" }
+func decodeEmpty([]byte) (*route.Document, error)      { return &route.Document{}, nil }
 
 // serve sends one request and returns how long the answer took.
 func serve(g *Gateway, patience time.Duration) (*httptest.ResponseRecorder, time.Duration) {
--- a/internal/gateway/strikes.go
+++ b/internal/gateway/strikes.go
@@ -64,7 +64,7 @@
 // refused reports whether the request has crashed too many servers.
 func (s *strikes) refused(c *Call) bool {
 	fingerprint := c.fingerprint()
-	return fingerprint != 0 && s.gateway.mesh.Held(fingerprint)
+	return fingerprint != 0 && s.gateway.mesh.Refused(fingerprint)
 }
 
 // settle reports the strikes of servers that are known to have ended and drops those that have
--- a/internal/limiter/leader_test.go
+++ b/internal/limiter/leader_test.go
@@ -125,6 +125,6 @@
 	if _, refused := other.Admit(s.ctx, shortWait); refused == nil || refused.Clause != contract.ClauseConcurrency {
 		t.Errorf("third concurrent request: got %+v, want a refusal for concurrency", refused)
 	}
-	firstPermit.Settle(entry.Use{})
-	secondPermit.Settle(entry.Use{})
+	firstPermit.Settle(entry.Usage{})
+	secondPermit.Settle(entry.Usage{})
 }
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -127,7 +127,7 @@
 }
 
 // Admit implements entry.Admission.
-func (l *Limiter) Admit(ctx context.Context, ask entry.Ask) (entry.Permit, *entry.Refusal) {
+func (l *Limiter) Admit(ctx context.Context, ask entry.AdmissionRequest) (entry.Permit, *entry.Refusal) {
 	id := quota.RequestID(l.nextID.Add(1))
 	verdict := make(chan quota.Action, 1)
 	request := quota.Request{ID: id, Contract: ask.Contract, Tokens: ask.Tokens()}
@@ -146,7 +146,7 @@
 	}
 }
 
-func (l *Limiter) decide(action quota.Action, ask entry.Ask) (entry.Permit, *entry.Refusal) {
+func (l *Limiter) decide(action quota.Action, ask entry.AdmissionRequest) (entry.Permit, *entry.Refusal) {
 	switch action := action.(type) {
 	case quota.Admit:
 		admittedCount.Add(1)
@@ -170,14 +170,14 @@
 
 // Settle blocks while the event queue is full, because a lost settlement would
 // keep its slot taken. The duty never waits for a request, so the wait ends.
-func (p *permit) Settle(use entry.Use) {
+func (p *permit) Settle(use entry.Usage) {
 	p.limiter.events <- settled{p.id, quota.Use{NotRun: use.NotRun, Tokens: usedTokens(use, p.prompt)}}
 }
 
 // usedTokens returns the engine's token count or, for a stream without one, an
 // estimate: the prompt's bound plus one token for each event. It returns -1 if
 // neither is known.
-func usedTokens(use entry.Use, prompt int64) int64 {
+func usedTokens(use entry.Usage, prompt int64) int64 {
 	switch {
 	case use.Tokens > 0:
 		return use.Tokens
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -81,7 +81,7 @@
 	for refused != nil {
 		permit, refused = l.Admit(s.ctx, s.ask(1))
 	}
-	permit.Settle(entry.Use{})
+	permit.Settle(entry.Usage{})
 	stop()
 }
 
@@ -92,9 +92,9 @@
 	return l, func() { l.Stop(s.ctx) }
 }
 
-func (s *site) ask(tokens int64) entry.Ask {
+func (s *site) ask(tokens int64) entry.AdmissionRequest {
 	agreed, _ := s.Contract("dabke")
-	return entry.Ask{Contract: agreed, Generated: tokens}
+	return entry.AdmissionRequest{Contract: agreed, Generated: tokens}
 }
 
 func testLimits() contract.Limits {
@@ -121,15 +121,15 @@
 			t.Fatalf("third request: got %+v, want a refusal for concurrency", refused)
 		}
 	}
-	second.Settle(entry.Use{})
+	second.Settle(entry.Usage{})
 	stopB()
 	// The slots that b returned are available to a.
 	third, refused := a.Admit(s.ctx, s.ask(1))
 	for refused != nil {
 		third, refused = a.Admit(s.ctx, s.ask(1))
 	}
-	third.Settle(entry.Use{})
-	first.Settle(entry.Use{})
+	third.Settle(entry.Usage{})
+	first.Settle(entry.Usage{})
 }
 
 func TestRefusalNamesItsClause(t *testing.T) {
@@ -142,7 +142,7 @@
 	if refused != nil {
 		t.Fatalf("the tokens of a minute refused: %+v", refused)
 	}
-	defer permit.Settle(entry.Use{Tokens: 60_000})
+	defer permit.Settle(entry.Usage{Tokens: 60_000})
 	if _, refused := l.Admit(s.ctx, s.ask(30_000)); refused == nil || refused.Clause != contract.ClauseTokensPerMinute || refused.RetryAfter <= 0 {
 		t.Errorf("tokens of half a minute more: got %+v, want a refusal with a retry time", refused)
 	}
@@ -168,12 +168,12 @@
 	})
 	cancel()
 	waiting.Wait()
-	first.Settle(entry.Use{})
+	first.Settle(entry.Usage{})
 	next, refused := l.Admit(s.ctx, s.ask(1))
 	if refused != nil {
 		t.Fatalf("refused: %+v", refused)
 	}
-	next.Settle(entry.Use{})
+	next.Settle(entry.Usage{})
 }
 
 // No control instance answers, so the customer's use at other entries is
@@ -196,7 +196,7 @@
 	if refused != nil {
 		t.Fatalf("refused: %+v", refused)
 	}
-	permit.Settle(entry.Use{})
+	permit.Settle(entry.Usage{})
 }
 
 // An operator retires a contract while it is in use and a request is queued.
@@ -213,7 +213,7 @@
 	refusals := make(chan *entry.Refusal, 1)
 	var waiting sync.WaitGroup
 	waiting.Go(func() {
-		_, refused := l.Admit(s.ctx, entry.Ask{Contract: testContract(limits), Generated: 1})
+		_, refused := l.Admit(s.ctx, entry.AdmissionRequest{Contract: testContract(limits), Generated: 1})
 		refusals <- refused
 	})
 	retired := testContract(limits)
--- a/internal/mesh/host.go
+++ b/internal/mesh/host.go
@@ -85,7 +85,7 @@
 	start := time.Now()
 	r, err := replica.Open(replica.Options{
 		Instance: h.mesh.options.Self.Name, Address: h.mesh.options.Self.Address, Folder: h.mesh.options.Folder,
-		Founders: h.founders, SnapshotEntries: snapshotEntries, SegmentBytes: segmentBytes, PersistCommit: true,
+		ChooseFounders: h.founders, SnapshotEntries: snapshotEntries, SegmentBytes: segmentBytes, PersistCommit: true,
 	}, sm, h.mesh.log)
 	if err != nil {
 		return err
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -210,7 +210,7 @@
 
 // A peer that has lost its roster receives only a heartbeat of a server. It must request
 // the server's announcement, or it sends the server no work.
-func TestUnknownServerInBeatIsRequested(t *testing.T) {
+func TestUnknownServerInHeartbeatIsRequested(t *testing.T) {
 	f := startFleet(t, 1, 1)
 	eventually(t, func() bool {
 		reached, _ := f.nodes[0].countReached(time.Now())
@@ -330,7 +330,7 @@
 		LoadsPerSecond: 2, Models: []route.Model{{Name: "busy", LoadTime: 5 * time.Second}, {Name: "rare", LoadTime: 5 * time.Second}},
 	}}
 	for i := range 40 {
-		m.NoteDemand([]string{"busy", "busy", "busy", "rare"}[i%4])
+		m.RecordDemand([]string{"busy", "busy", "busy", "rare"}[i%4])
 	}
 	p := newPermits(m)
 	p.leading, p.limiters = true, make(map[string]*rate.Limiter)
@@ -367,5 +367,5 @@
 	for i, server := range []string{"a", "b", "c"} {
 		f.nodes[i%2].Strike(suspicion.Strike{Fingerprint: 9, Server: server})
 	}
-	eventually(t, func() bool { return f.nodes[0].Held(9) && f.nodes[1].Held(9) })
+	eventually(t, func() bool { return f.nodes[0].Refused(9) && f.nodes[1].Refused(9) })
 }
--- a/internal/mesh/peer.go
+++ b/internal/mesh/peer.go
@@ -380,8 +380,8 @@
 	}
 }
 
-// Held reports whether a request has crashed too many servers to run again.
-func (m *Mesh) Held(fingerprint uint64) bool {
+// Refused reports whether a request has crashed too many servers to run again.
+func (m *Mesh) Refused(fingerprint uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.strikes.Refused(fingerprint, time.Now())
--- a/internal/mesh/permits.go
+++ b/internal/mesh/permits.go
@@ -169,8 +169,8 @@
 	return svc.Engine.Models[0].Name
 }
 
-// NoteDemand counts a request for a model.
-func (m *Mesh) NoteDemand(model string) {
+// RecordDemand counts a request for a model.
+func (m *Mesh) RecordDemand(model string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.demand.Record(model, time.Now())
--- a/internal/operator/calls.go
+++ b/internal/operator/calls.go
@@ -129,7 +129,7 @@
 func (c *Client) InForce(ctx context.Context, index uint64, timeout time.Duration) (InForce, error) {
 	deadline := time.Now().Add(timeout)
 	for {
-		remaining := max(0, min(time.Until(deadline), WaitLimit))
+		remaining := max(0, min(time.Until(deadline), MaxWait))
 		path := fmt.Sprintf("/admin/v1/in-force/%d?waitMillis=%d", index, remaining.Milliseconds())
 		var report InForce
 		if err := c.Wait(ctx, path, remaining, &report); err != nil {
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -61,13 +61,13 @@
 	AttemptTimeout time.Duration
 	// Rounds is the number of times that all instances are tried; 0 means 3.
 	Rounds int
-	// HTTP is the client for the calls, by default http.DefaultClient. See Trusting.
+	// HTTP is the client for the calls, by default http.DefaultClient. See NewHTTPClient.
 	HTTP *http.Client
 }
 
-// Trusting returns an HTTP client that trusts only server certificates signed by
+// NewHTTPClient returns an HTTP client that trusts only server certificates signed by
 // an authority in the given PEM file.
-func Trusting(authorityFile string) (*http.Client, error) {
+func NewHTTPClient(authorityFile string) (*http.Client, error) {
 	data, err := os.ReadFile(authorityFile)
 	if err != nil {
 		return nil, errors.Wrap(err, "read authority")
--- a/internal/operator/document.go
+++ b/internal/operator/document.go
@@ -67,8 +67,8 @@
 	Failed Outcome = "failed"
 )
 
-// Imported is the report of an import on one object.
-type Imported struct {
+// ImportResult is the report of an import on one object.
+type ImportResult struct {
 	Object  string  `json:"object"`
 	Outcome Outcome `json:"outcome"`
 	Error   string  `json:"error,omitempty"`
@@ -83,7 +83,7 @@
 // document does not contain. Each write carries the revision that was read just
 // before. Importing a document twice therefore changes nothing, and a concurrent
 // write is never silently overwritten.
-func (c *Client) Import(ctx context.Context, wanted Document) ([]Imported, error) {
+func (c *Client) Import(ctx context.Context, wanted Document) ([]ImportResult, error) {
 	current, err := c.readAll(ctx)
 	if err != nil {
 		return nil, err
@@ -94,7 +94,7 @@
 		append(serviceSteps(wanted, current), serverSteps(wanted, current)...),
 		contractSteps(wanted, current),
 	}
-	var report []Imported
+	var report []ImportResult
 	for _, stage := range steps {
 		report = append(report, c.runSteps(ctx, stage)...)
 	}
@@ -113,8 +113,8 @@
 	body         any
 }
 
-func (c *Client) runSteps(ctx context.Context, steps []step) []Imported {
-	report := make([]Imported, len(steps))
+func (c *Client) runSteps(ctx context.Context, steps []step) []ImportResult {
+	report := make([]ImportResult, len(steps))
 	semaphore := make(chan struct{}, importConcurrency)
 	var running sync.WaitGroup
 	for i, s := range steps {
@@ -128,14 +128,14 @@
 	return report
 }
 
-func (c *Client) runStep(ctx context.Context, s step) Imported {
-	done := Imported{Object: s.object, Outcome: Unchanged}
+func (c *Client) runStep(ctx context.Context, s step) ImportResult {
+	done := ImportResult{Object: s.object, Outcome: Unchanged}
 	for _, r := range s.requests {
 		// Each write is idempotent through its revision or its immutable name,
 		// so that it needs no operation ID.
 		result, err := c.ChangeAs(ctx, "", r.method, r.path, r.body)
 		if err != nil {
-			return Imported{Object: s.object, Outcome: Failed, Error: err.Error()}
+			return ImportResult{Object: s.object, Outcome: Failed, Error: err.Error()}
 		}
 		done.Outcome, done.Index = Written, result.Index
 	}
--- a/internal/operator/messages.go
+++ b/internal/operator/messages.go
@@ -96,12 +96,12 @@
 	Done bool `json:"done"`
 	// Waiting are living daemons that have not confirmed the change.
 	Waiting []wire.Daemon `json:"waiting,omitempty"`
-	// Lost are daemons that were not seen for the duration of their lease. They have
+	// Expired are daemons that were not seen for the duration of their lease. They have
 	// stopped admitting requests on their own or no longer run.
-	Lost []wire.Daemon `json:"lost,omitempty"`
-	// Silent are control instances that do not answer. Daemons that follow only
+	Expired []wire.Daemon `json:"lost,omitempty"`
+	// Unresponsive are control instances that do not answer. Daemons that follow only
 	// these instances stop admitting requests within the freshness lease.
-	Silent []string `json:"silent,omitempty"`
+	Unresponsive []string `json:"silent,omitempty"`
 }
 
 // Document is the whole configuration as stored in a file. It contains no
@@ -114,5 +114,5 @@
 	Servers   []state.Server      `json:"servers,omitempty"`
 }
 
-// WaitLimit is the longest time that a control instance may hold one InForce call.
-const WaitLimit = 30 * time.Second
+// MaxWait is the longest time that a control instance may hold one InForce call.
+const MaxWait = 30 * time.Second
--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -30,7 +30,7 @@
 // one. All peers must have answered: an instance that lost its data folder then
 // learns of the existing log and cannot found a second, empty one.
 func (r *Replica) bootstrap(ctx context.Context) {
-	if r.options.Founders != nil {
+	if r.options.ChooseFounders != nil {
 		r.bootstrapChosen(ctx)
 		return
 	}
@@ -47,13 +47,13 @@
 	}
 }
 
-// bootstrapChosen founds the log immediately if Founders chose this instance.
+// bootstrapChosen founds the log immediately if ChooseFounders chose this instance.
 // Otherwise the leader of the log founded elsewhere adds this instance.
 func (r *Replica) bootstrapChosen(ctx context.Context) {
 	if !r.noCluster() {
 		return
 	}
-	if members, found := r.options.Founders(ctx, r.self); found {
+	if members, found := r.options.ChooseFounders(ctx, r.self); found {
 		r.found(members)
 	}
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -44,11 +44,11 @@
 	// Bootstrap allows this instance to found the log once every peer has answered
 	// that it belongs to none.
 	Bootstrap bool
-	// Founders, if set, replaces Peers and Bootstrap in deployments without a
+	// ChooseFounders, if set, replaces Peers and Bootstrap in deployments without a
 	// configured list of all control instances. An instance that belongs to no log
 	// calls it once. It returns when the founding is decided and reports whether
 	// this instance founds a log, and with which members.
-	Founders func(ctx context.Context, self replog.Member) (members []replog.Member, found bool)
+	ChooseFounders func(ctx context.Context, self replog.Member) (members []replog.Member, found bool)
 	// Folder is the data folder. FS defaults to the operating system's file system.
 	Folder string
 	FS     wal.FS
--- a/internal/sidecar/calls.go
+++ b/internal/sidecar/calls.go
@@ -20,10 +20,10 @@
 // Handlers returns the RPC methods that entries call.
 func (s *Sidecar) Handlers() map[string]rpc.Handler {
 	return map[string]rpc.Handler{
-		wire.MethodStartAdmit: rpc.Typed(s.admit),
-		wire.MethodStartBegun: rpc.Typed(s.begun),
-		wire.MethodStartDone:  rpc.Typed(s.done),
-		wire.MethodStartWatch: rpc.Typed(s.watch),
+		wire.MethodStartAdmit:      rpc.Typed(s.admit),
+		wire.MethodStartFirstEvent: rpc.Typed(s.begun),
+		wire.MethodStartDone:       rpc.Typed(s.done),
+		wire.MethodStartWatch:      rpc.Typed(s.watch),
 	}
 }
 
@@ -46,7 +46,7 @@
 	case r := <-reply:
 		return r, nil
 	case <-ctx.Done():
-		_ = s.submit(func(l *loop) { l.release(in.ID, in.Try) })
+		_ = s.submit(func(l *loop) { l.release(in.ID, in.Attempt) })
 		return wire.StartReply{}, ctx.Err()
 	}
 }
@@ -63,7 +63,7 @@
 	if before, known := l.tries[in.ID]; known {
 		l.release(in.ID, before)
 	}
-	l.waiters[in.ID], l.tries[in.ID] = reply, in.Try
+	l.waiters[in.ID], l.tries[in.ID] = reply, in.Attempt
 	if in.Version > 0 {
 		l.perform(l.table.VersionAnnounced(in.Adapter, in.Version, now))
 	}
@@ -97,14 +97,14 @@
 		if in.PauseMillis > 0 {
 			l.table.RecordPause(time.Duration(in.PauseMillis)*time.Millisecond, time.Duration(in.AllowedMillis)*time.Millisecond)
 		}
-		l.release(in.ID, in.Try)
+		l.release(in.ID, in.Attempt)
 	})
 }
 
 func (s *Sidecar) begun(_ context.Context, in wire.StartDone) (wire.Empty, error) {
 	now := time.Now()
 	return wire.Empty{}, s.submit(func(l *loop) {
-		if l.tries[in.ID] == in.Try {
+		if l.tries[in.ID] == in.Attempt {
 			l.table.FirstEvent(in.ID, now)
 		}
 	})
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -359,19 +359,19 @@
 	e := newFakeEngine(t)
 	runAgent(t, e, func(t *testing.T, s *Sidecar) {
 		for try := 1; try <= 2; try++ {
-			reply, err := s.admit(t.Context(), wire.StartRequest{ID: "r1", Try: try, Adapter: "m/a", Prompt: 10, Tokens: 20, WaitMillis: 5000})
+			reply, err := s.admit(t.Context(), wire.StartRequest{ID: "r1", Attempt: try, Adapter: "m/a", Prompt: 10, Tokens: 20, WaitMillis: 5000})
 			if err != nil || !reply.Start {
 				t.Fatalf("try %d: %+v, %v", try, reply, err)
 			}
 		}
-		if _, err := s.done(t.Context(), wire.StartDone{ID: "r1", Try: 1}); err != nil {
+		if _, err := s.done(t.Context(), wire.StartDone{ID: "r1", Attempt: 1}); err != nil {
 			t.Fatal(err)
 		}
 		synctest.Wait()
 		if state, _ := s.state.get(); state.Running != 1 {
 			t.Errorf("%d requests run, want the second try only", state.Running)
 		}
-		if _, err := s.done(t.Context(), wire.StartDone{ID: "r1", Try: 2}); err != nil {
+		if _, err := s.done(t.Context(), wire.StartDone{ID: "r1", Attempt: 2}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -47,8 +47,8 @@
 	CrashMarker string
 }
 
-// Ran records one request that the engine started to run.
-type Ran struct {
+// StartedRequest records one request that the engine started to run.
+type StartedRequest struct {
 	RequestID string
 	Model     string
 	Prompt    string
@@ -66,7 +66,7 @@
 	running      int
 	waiting      int
 	maxFencing   uint64
-	ran          []Ran
+	ran          []StartedRequest
 	cancelled    int
 	evictedInUse int
 	report       Report
@@ -133,8 +133,8 @@
 	clear(e.inUse)
 }
 
-// Ran returns the requests that the engine started to run, in order.
-func (e *Engine) Ran() []Ran {
+// Started returns the requests that the engine started to run, in order.
+func (e *Engine) Started() []StartedRequest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.ran)
@@ -316,7 +316,7 @@
 	if model != e.options.BaseModel && !slices.Contains(e.loaded, model) {
 		return nil, nil, false
 	}
-	e.ran = append(e.ran, Ran{RequestID: id, Model: model, Prompt: prompt})
+	e.ran = append(e.ran, StartedRequest{RequestID: id, Model: model, Prompt: prompt})
 	restarted, batch := e.restarted, e.batch
 	if e.options.CrashMarker != "" && strings.Contains(prompt, e.options.CrashMarker) {
 		e.restart()
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -42,9 +42,9 @@
 	Endpoint string
 	// Instance is the service instance ID of the spans.
 	Instance string
-	// Share is the fraction of requests without an incoming sampling decision that
+	// SampleRatio is the fraction of requests without an incoming sampling decision that
 	// are traced, from 0 to 1; 0 means 1.
-	Share float64
+	SampleRatio float64
 }
 
 // Tracer returns the tracer that all hops use.
@@ -65,7 +65,7 @@
 	}
 	provider := sdktrace.NewTracerProvider(
 		sdktrace.WithBatcher(exporter),
-		sdktrace.WithSampler(sampler(options.Share)),
+		sdktrace.WithSampler(sampler(options.SampleRatio)),
 		sdktrace.WithResource(resource.NewSchemaless(
 			semconv.ServiceName("rosemarypass"),
 			semconv.ServiceInstanceID(options.Instance),
--- a/internal/upstream/body_test.go
+++ b/internal/upstream/body_test.go
@@ -12,7 +12,7 @@
 // An engine's report grows beyond the limit of its reader. Truncated at the
 // limit it would be taken for the complete report, and whatever follows the
 // limit would be taken as absent.
-func TestCallWholeRejectsOversizedBody(t *testing.T) {
+func TestCallBufferedRejectsOversizedBody(t *testing.T) {
 	for limit, fits := range map[int64]bool{4: false, 5: true, 6: true} {
 		target, _ := startServer(t, response1)
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
--- a/internal/wire/feed.go
+++ b/internal/wire/feed.go
@@ -102,8 +102,8 @@
 	Freshness   freshness.State `json:"freshness"`
 	// Lease is how long the daemon admits requests after its last proof of freshness.
 	Lease time.Duration `json:"lease"`
-	// Unseen is the time since the daemon's last call. Lost is set once that is
+	// SinceLastCall is the time since the daemon's last call. Lost is set once that is
 	// long enough that the daemon has certainly stopped admitting requests.
-	Unseen time.Duration `json:"unseen"`
-	Lost   bool          `json:"lost,omitempty"`
+	SinceLastCall time.Duration `json:"unseen"`
+	Lost          bool          `json:"lost,omitempty"`
 }
--- a/internal/wire/starts.go
+++ b/internal/wire/starts.go
@@ -6,8 +6,8 @@
 	// MethodStartAdmit requests the start of a request and returns when the request
 	// may start or is refused.
 	MethodStartAdmit = "start.admit"
-	// MethodStartBegun reports that a request has produced its first event.
-	MethodStartBegun = "start.begun"
+	// MethodStartFirstEvent reports that a request has produced its first event.
+	MethodStartFirstEvent = "start.begun"
 	// MethodStartDone reports that a request has ended or is no longer wanted.
 	MethodStartDone = "start.done"
 	// MethodStartWatch returns the engine's state once it has changed.
@@ -17,9 +17,9 @@
 // StartRequest asks for permission to start a request.
 type StartRequest struct {
 	ID string `json:"id"`
-	// Try numbers the attempts to start this request. A new attempt also ends
+	// Attempt numbers the attempts to start this request. A new attempt also ends
 	// the one before it.
-	Try int `json:"try"`
+	Attempt int `json:"try"`
 	// Adapter has the form model/adapter. It is empty for the base model alone.
 	Adapter string `json:"adapter,omitempty"`
 	// Version is the newest version of the adapter that the entry knows, or 0 if
@@ -57,8 +57,8 @@
 
 // StartDone identifies a request that has ended or produced its first event.
 type StartDone struct {
-	ID  string `json:"id"`
-	Try int    `json:"try"`
+	ID      string `json:"id"`
+	Attempt int    `json:"try"`
 	// PauseMillis is the longest pause between two events of a stream that has
 	// ended, AllowedMillis the longest pause that its route allows. They are 0 if
 	// no pause was measured.
--- a/internal/wire/suspicion.go
+++ b/internal/wire/suspicion.go
@@ -9,9 +9,9 @@
 const (
 	// HeaderFingerprint identifies a request by contract, model and body.
 	HeaderFingerprint = "Rosemarypass-Fingerprint"
-	// HeaderAlone asks the agent to run the request with no other request on the
+	// HeaderIsolated asks the agent to run the request with no other request on the
 	// engine.
-	HeaderAlone = "Rosemarypass-Alone"
+	HeaderIsolated = "Rosemarypass-Alone"
 	// HeaderCrashed tells the entry that the server crashed while the request
 	// was running on it.
 	HeaderCrashed = "Rosemarypass-Crashed"
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -32,8 +32,8 @@
 	HeaderRequestID = "X-Request-Id"
 	// HeaderModel carries the "adapter@version" on which the request must run.
 	HeaderModel = "Rosemarypass-Model"
-	// HeaderRan carries the "adapter@version" that produced the answer.
-	HeaderRan = "Rosemarypass-Ran"
+	// HeaderServedModel carries the "adapter@version" that produced the answer.
+	HeaderServedModel = "Rosemarypass-Ran"
 	// HeaderFencing carries the fencing number of an order to an engine.
 	HeaderFencing = "X-Fencing-Number"
 	// HeaderIncarnation carries the engine incarnation that an order or call is
