--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -18,10 +18,10 @@
 	// Admit blocks until the contract allows the request. It refuses immediately if
 	// the wait would certainly exceed the contract's longest wait, and otherwise
 	// when that wait has elapsed.
-	Admit(ctx context.Context, ask AdmissionRequest) (Permit, *Refusal)
+	Admit(ctx context.Context, request AdmissionRequest) (Permit, *Refusal)
 }
 
-// AdmissionRequest describes a request that asks for admission.
+// AdmissionRequest describes a request that is submitted for admission.
 type AdmissionRequest struct {
 	Contract contract.Contract
 	// Prompt and Generated are upper estimates of the tokens that the request uses;
@@ -86,15 +86,15 @@
 
 // admit sends a call under a permit, which is settled with the outcome of the
 // answer that the caller received. The claim of a call that must run at most once
-// is taken before: if admission came first and refused, the caller would be told
+// is taken before admission. In the reverse order, a refused admission would report
 // "not run" although an earlier attempt with the same key may have run.
 func (e *Entry) admit(in *inbound, r *http.Request, c call) reply {
-	c.wait = newWaitBudget(c.ask.Contract.Limits, time.Now())
-	return e.withPermit(in, r, c.ask, func() reply { return e.send(in, r, c) })
+	c.wait = newWaitBudget(c.admission.Contract.Limits, time.Now())
+	return e.withPermit(in, r, c.admission, func() reply { return e.send(in, r, c) })
 }
 
-func (e *Entry) withPermit(in *inbound, r *http.Request, ask AdmissionRequest, run func() reply) reply {
-	permit, refusal := e.options.Admission.Admit(r.Context(), ask)
+func (e *Entry) withPermit(in *inbound, r *http.Request, request AdmissionRequest, run func() reply) reply {
+	permit, refusal := e.options.Admission.Admit(r.Context(), request)
 	if refusal != nil && r.Context().Err() != nil {
 		return in.fail(noAnswer(r.Context(), false))
 	}
@@ -102,7 +102,7 @@
 		return in.fail(refusal.failure())
 	}
 	in.addCleanup(func() { permit.Settle(in.meter.usage()) })
-	setContractHeaders(r.Header, ask)
+	setContractHeaders(r.Header, request)
 	result := run()
 	// An answer that is cut may have run and is charged as if it had.
 	in.meter.notRun = result.outcome == outcome.NotRun
@@ -111,11 +111,11 @@
 
 // setContractHeaders passes the contract's ID, share and priority and the request's
 // cost to the next hops, so that their queues are fair across contracts.
-func setContractHeaders(header http.Header, ask AdmissionRequest) {
-	header.Set(wire.HeaderContract, ask.Contract.ID)
-	header.Set(wire.HeaderShare, strconv.Itoa(ask.Contract.Share))
-	header.Set(wire.HeaderPriority, strconv.Itoa(ask.Contract.Priority))
-	header.Set(wire.HeaderCost, strconv.FormatInt(ask.Tokens(), 10))
+func setContractHeaders(header http.Header, request AdmissionRequest) {
+	header.Set(wire.HeaderContract, request.Contract.ID)
+	header.Set(wire.HeaderShare, strconv.Itoa(request.Contract.Share))
+	header.Set(wire.HeaderPriority, strconv.Itoa(request.Contract.Priority))
+	header.Set(wire.HeaderCost, strconv.FormatInt(request.Tokens(), 10))
 }
 
 // defaultMaxTokens is the estimate of the tokens that a completion generates if the
@@ -128,10 +128,10 @@
 	maxChoices  = 1 << 16
 )
 
-// newAsk returns an upper estimate of a completion's use. The size of the body
-// bounds the prompt, because no tokenizer produces more tokens than the prompt has
-// bytes.
-func newAsk(customer contract.Contract, body callerBody, bodyBytes int) AdmissionRequest {
+// newAdmissionRequest returns the admission request of a completion, with an upper
+// estimate of its use. The size of the body bounds the prompt, because no tokenizer
+// produces more tokens than the prompt has bytes.
+func newAdmissionRequest(customer contract.Contract, body callerBody, bodyBytes int) AdmissionRequest {
 	generated := max(body.MaxTokens, body.MaxCompletionTokens)
 	if generated <= 0 {
 		generated = defaultMaxTokens
@@ -143,8 +143,8 @@
 	return AdmissionRequest{Contract: customer, Prompt: int64(bodyBytes), Generated: generated * choices}
 }
 
-// tailSize is how much of the end of an answer is kept to find its usage object, in
-// bytes.
+// tailSize is how many bytes of the end of an answer are retained to find its usage
+// object.
 const tailSize = 4 << 10
 
 // meter measures a server's answer while it is relayed to the caller.
@@ -156,7 +156,7 @@
 
 var eventPrefix = []byte("data: ")
 
-// add counts streamed events and keeps the end of the answer.
+// add counts streamed events and retains the end of the answer.
 func (m *meter) add(piece []byte) {
 	m.events += int64(bytes.Count(piece, eventPrefix))
 	m.tail = append(m.tail, piece...)
--- a/internal/entry/admission_test.go
+++ b/internal/entry/admission_test.go
@@ -107,18 +107,19 @@
 	}).ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "/v1/completions", nil))
 	header := recorder.Header()
 	if recorder.Code != http.StatusTooManyRequests || header.Get("Retry-After") != "3" {
-		t.Errorf("got %d, Retry-After %q", recorder.Code, header.Get("Retry-After"))
+		t.Errorf("got status %d, Retry-After %q; want 429, \"3\"", recorder.Code, header.Get("Retry-After"))
 	}
 	if header.Get(wire.HeaderClause) != "tokensPerMinute" || header.Get(outcome.Header) != "not-run" {
-		t.Errorf("headers: %v", header)
+		t.Errorf("got headers %v, want the clause tokensPerMinute and the outcome not-run", header)
 	}
 	if body := recorder.Body.String(); !strings.Contains(body, `"code":"limit_reached","param":"tokensPerMinute"`) {
-		t.Errorf("body: %s", body)
+		t.Errorf("got body %s, want the code limit_reached and the param tokensPerMinute", body)
 	}
 }
 
-// The caller asks for the maximum number of tokens and choices that the request's
-// integer fields can hold.
+// A caller requests the maximum number of tokens and choices that the request's
+// integer fields can hold. The estimate must not overflow, because a negative one
+// would credit the contract.
 func TestEstimateNeverOverflows(t *testing.T) {
 	cases := []struct {
 		body callerBody
@@ -131,8 +132,8 @@
 		{callerBody{MaxTokens: math.MaxInt64, N: math.MaxInt64}, maxEstimate * maxChoices},
 	}
 	for _, c := range cases {
-		if ask := newAsk(contract.Contract{}, c.body, 7); ask.Generated != c.want || ask.Tokens() != c.want+7 {
-			t.Errorf("%+v: got %+v, want %d", c.body, ask, c.want)
+		if got := newAdmissionRequest(contract.Contract{}, c.body, 7); got.Generated != c.want || got.Tokens() != c.want+7 {
+			t.Errorf("%+v: got %+v, want %d", c.body, got, c.want)
 		}
 	}
 }
--- a/internal/entry/backend_test.go
+++ b/internal/entry/backend_test.go
@@ -60,7 +60,7 @@
 type resumeAction uint8
 
 const (
-	// resumeAll sends the whole rest, resumePart a part of it, resumeDrop nothing.
+	// resumeAll sends the complete rest, resumePart a part of it, resumeDrop nothing.
 	resumeAll resumeAction = iota
 	resumePart
 	resumeDrop
@@ -180,7 +180,7 @@
 	return all
 }
 
-// listen runs a server that plays the script, down to the framing of its answers.
+// listen runs a server that follows the script, down to the framing of its answers.
 func (s *script) listen(t *testing.T) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/entry/body_test.go
+++ b/internal/entry/body_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	if response.StatusCode != http.StatusRequestEntityTooLarge || !response.Close {
-		t.Errorf("status %d, Connection: close %v", response.StatusCode, response.Close)
+		t.Errorf("status %d, Connection: close %v; want 413, true", response.StatusCode, response.Close)
 	}
 }
 
@@ -50,6 +50,6 @@
 		t.Fatal(err)
 	}
 	if response.StatusCode != http.StatusBadRequest || !response.Close {
-		t.Errorf("status %d, Connection: close %v", response.StatusCode, response.Close)
+		t.Errorf("status %d, Connection: close %v; want 400, true", response.StatusCode, response.Close)
 	}
 }
--- a/internal/entry/complete.go
+++ b/internal/entry/complete.go
@@ -47,7 +47,7 @@
 	c := call{
 		request:    placement.Request{Kind: membership.KindEngine, Ref: adapter.Ref, BaseModel: adapter.BaseModel, Prefix: prefixcache.Chain(adapter.Ref, body)},
 		contract:   customer.ID,
-		ask:        newAsk(customer, parsed, len(body)),
+		admission:  newAdmissionRequest(customer, parsed, len(body)),
 		path:       r.URL.Path,
 		body:       prepared,
 		idempotent: true,
--- a/internal/entry/cut_test.go
+++ b/internal/entry/cut_test.go
@@ -104,15 +104,15 @@
 	return s.ran
 }
 
-// The connection to a backend server is cut at one step of a call. A caller that is
-// told "not run" although the call ran books a second truck; a caller that receives
-// half of an answer as if it were complete loses the rest without noticing.
+// The connection to a backend server is cut at one step of a call. If "not run" were
+// reported although the call ran, the caller would book a second truck; if half of
+// an answer looked complete, the caller would lose the rest without noticing.
 func TestOutcomeIsCorrectAtEachCutPoint(t *testing.T) {
 	cases := []struct {
 		name string
 		cut  cutPoint
 		path string
-		// want is the outcome that the caller is told; the second server never
+		// want is the outcome reported to the caller; the second server never
 		// breaks off.
 		want   outcome.Outcome
 		broken bool
@@ -152,14 +152,14 @@
 	}
 }
 
-// Every server refuses the connection. The caller must be told that it may safely
-// send its deposit again, and when.
+// Every server refuses the connection. The answer must report that the caller may
+// safely send its deposit again, and when.
 func TestNoServerReachedIsNotRun(t *testing.T) {
 	first := startCuttingServer(t, cutDial)
 	_, server := newEntry(t, entry.Options{}, newSource(service("first", first.address(), 0)))
 	got := call(t, server, http.MethodPost, "/services/desk/once", "", "x")
 	if got.outcome != outcome.NotRun || got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
-		t.Errorf("outcome %v, status %d, Retry-After %q", got.outcome, got.status, got.header.Get("Retry-After"))
+		t.Errorf("outcome %v, status %d, Retry-After %q; want not-run, 503 and a Retry-After", got.outcome, got.status, got.header.Get("Retry-After"))
 	}
 }
 
@@ -176,7 +176,7 @@
 	_, server := newEntry(t, entry.Options{}, newSource(service("a", desk, 0), service("b", desk, 0)))
 	got := call(t, server, http.MethodPost, "/services/desk/once", "", "x")
 	if ran != 1 || got.outcome != outcome.Answered {
-		t.Errorf("ran %d times, outcome %v", ran, got.outcome)
+		t.Errorf("ran %d times, outcome %v; want 1 run, answered", ran, got.outcome)
 	}
 }
 
@@ -214,7 +214,7 @@
 	_, server := newEntry(t, entry.Options{}, newSource(service("a", desk, 0)))
 	for _, path := range []string{"/once", "/again"} {
 		if got := call(t, server, http.MethodPost, "/services/desk"+path, "", ""); got.outcome != outcome.Answered {
-			t.Errorf("%s: %v", path, got)
+			t.Errorf("%s: got %v, want an answer of the service", path, got)
 		}
 	}
 	if len(encoding) != 0 {
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -31,7 +31,7 @@
 type fixedSource struct {
 	config  *follow.Config
 	servers []membership.Announcement
-	// kind is how far the entry can confirm its configuration.
+	// kind is the freshness of the configuration.
 	kind freshness.Kind
 }
 
--- a/internal/entry/framing_test.go
+++ b/internal/entry/framing_test.go
@@ -191,9 +191,9 @@
 	}
 }
 
-// A service responds with a status that is not final. The caller must be told that
-// the call may have run, instead of getting a dropped connection or a protocol
-// switch that it did not request.
+// A service responds with a status that is not final. The answer must report that
+// the call may have run, and the caller must not get a dropped connection or a
+// protocol switch that it did not request.
 func TestNonFinalStatusIsUnknownOutcome(t *testing.T) {
 	for _, status := range []int{0, 99, 101} {
 		answer := head(status, "Content-Length: 0")
@@ -201,7 +201,7 @@
 		for _, key := range []string{"", "k"} {
 			got := rawCall(t, server, "1.1", http.MethodPost, "/services/desk/once", key, "x")
 			if got.cut || got.status != http.StatusBadGateway || got.outcome != outcome.Unknown {
-				t.Errorf("server status %d, key %q: outcome %v, status %d, cut %v", status, key, got.outcome, got.status, got.cut)
+				t.Errorf("server status %d, key %q: outcome %v, status %d, cut %v; want unknown, 502, not cut", status, key, got.outcome, got.status, got.cut)
 			}
 		}
 	}
@@ -216,11 +216,11 @@
 	complete := broken + "whole"
 	server := newServiceEntry(t, entry.Options{}, rawServer(t, broken), rawServer(t, complete))
 	if got := rawCall(t, server, "1.1", http.MethodPost, "/services/desk/again", "", "x"); got.cut || got.body != "whole" {
-		t.Errorf("idempotent call: status %d, body %q, cut %v", got.status, got.body, got.cut)
+		t.Errorf("idempotent call: status %d, body %q, cut %v; want the second server's answer", got.status, got.body, got.cut)
 	}
 	server = newServiceEntry(t, entry.Options{}, rawServer(t, broken))
 	if got := rawCall(t, server, "1.1", http.MethodPost, "/services/desk/once", "", "x"); got.cut || got.outcome != outcome.Unknown || got.status != http.StatusBadGateway {
-		t.Errorf("non-idempotent call: outcome %v, status %d, cut %v", got.outcome, got.status, got.cut)
+		t.Errorf("non-idempotent call: outcome %v, status %d, cut %v; want unknown, 502, not cut", got.outcome, got.status, got.cut)
 	}
 }
 
@@ -282,13 +282,13 @@
 }
 
 // A booking desk sends this system's own outcome header in its trailer. A caller
-// that read there that its booking was not run would send it again.
+// that trusted it would conclude that its booking was not run and send it again.
 func TestInternalTrailersOfPlainServiceAreDropped(t *testing.T) {
 	trailer := "0\r\n" + outcome.Header + ": not-run\r\nContent-Length: 3\r\nChecksum: abc\r\n\r\n"
 	server := newServiceEntry(t, entry.Options{}, rawServer(t, head(200, chunkedEncoding)+chunk("whole")+trailer))
 	got := rawCall(t, server, "1.1", http.MethodPost, "/services/desk/once", "", "x")
 	if got.cut || got.trailer.Get("Checksum") != "abc" || len(got.trailer) != 1 {
-		t.Errorf("cut %v, trailer %v", got.cut, got.trailer)
+		t.Errorf("cut %v, trailer %v; want only the checksum", got.cut, got.trailer)
 	}
 }
 
@@ -300,12 +300,12 @@
 	_, server := newEntry(t, entry.Options{}, newSource(engineServer("floor-1", rawServer(t, first, rest))))
 	got := rawCall(t, server, "1.1", http.MethodPost, "/v1/completions", "", completion("x", 2, true))
 	if got.cut || got.body != "data: one\n\ndata: two\n\n" || got.trailer.Get("Checksum") != "abc" {
-		t.Errorf("cut %v, body %q, trailer %v", got.cut, got.body, got.trailer)
+		t.Errorf("cut %v, body %q, trailer %v; want both events and the checksum", got.cut, got.body, got.trailer)
 	}
 }
 
-// A caller requests a path or method that the entry does not serve. It must be
-// told, like every other caller, that nothing ran.
+// A caller requests a path or method that the entry does not serve. As in every
+// other error answer, the outcome must be that nothing ran.
 func TestUnknownPathOrMethodIsNotRun(t *testing.T) {
 	server := newServiceEntry(t, entry.Options{})
 	for path, want := range map[string]int{"/v1/completions": http.StatusMethodNotAllowed, "/v1/embeddings": http.StatusNotFound, "/services": http.StatusNotFound} {
@@ -321,11 +321,11 @@
 }
 
 // refusingSuspicions refuses every suspect and counts the requests for a verdict.
-type refusingSuspicions struct{ asked atomic.Int64 }
+type refusingSuspicions struct{ requests atomic.Int64 }
 
 func (a *refusingSuspicions) Suspect(_ context.Context, command suspicion.Command) (suspicion.Verdict, error) {
 	if command.Ask != nil {
-		a.asked.Add(1)
+		a.requests.Add(1)
 	}
 	return suspicion.Refuse, nil
 }
@@ -341,8 +341,8 @@
 	suspicions := &refusingSuspicions{}
 	_, server := newEntry(t, entry.Options{Suspicions: suspicions}, newSource(first, second))
 	got := rawCall(t, server, "1.1", http.MethodPost, "/v1/completions", "", completion("x", 2, true))
-	if suspicions.asked.Load() != 1 || got.status != http.StatusUnprocessableEntity || got.outcome != outcome.Unknown {
-		t.Errorf("%d requests for a verdict, outcome %v, status %d", suspicions.asked.Load(), got.outcome, got.status)
+	if suspicions.requests.Load() != 1 || got.status != http.StatusUnprocessableEntity || got.outcome != outcome.Unknown {
+		t.Errorf("%d requests for a verdict, outcome %v, status %d; want 1, unknown, 422", suspicions.requests.Load(), got.outcome, got.status)
 	}
 }
 
@@ -448,7 +448,7 @@
 	for _, size := range []int{2 << 10, 200 << 10, 2 << 20} {
 		got := rawCall(t, server, "1.1", http.MethodPost, "/services/desk/once", "", strings.Repeat("x", size))
 		if got.status != http.StatusRequestEntityTooLarge || got.outcome != outcome.NotRun || got.cut {
-			t.Errorf("%d bytes: outcome %v, status %d, cut %v", size, got.outcome, got.status, got.cut)
+			t.Errorf("%d bytes: outcome %v, status %d, cut %v; want not-run, 413, not cut", size, got.outcome, got.status, got.cut)
 		}
 	}
 }
--- a/internal/entry/freshness_test.go
+++ b/internal/entry/freshness_test.go
@@ -21,20 +21,20 @@
 		from.kind = kind
 		got := call(t, server, http.MethodPost, "/v1/completions", "", `{"model":"`+model+`"}`)
 		if got.status != http.StatusServiceUnavailable || got.outcome != outcome.NotRun || got.header.Get("Retry-After") != "1" {
-			t.Errorf("%q: %+v", kind, got)
+			t.Errorf("freshness %q: got %+v, want status 503, not-run and Retry-After 1", kind, got)
 		}
 		if !strings.Contains(got.body, "configuration_unconfirmed") {
-			t.Errorf("%q: %s", kind, got.body)
+			t.Errorf("freshness %q: got body %s, want the code configuration_unconfirmed", kind, got.body)
 		}
 		if e.Ready() {
-			t.Errorf("%q: the entry reports ready", kind)
+			t.Errorf("freshness %q: the entry reports ready", kind)
 		}
 	}
 	for _, kind := range []freshness.Kind{freshness.Fresh, freshness.Unchangeable} {
 		from.kind = kind
 		got := call(t, server, http.MethodPost, "/v1/completions", "", `{"model":"`+model+`"}`)
 		if strings.Contains(got.body, "configuration_unconfirmed") || !e.Ready() {
-			t.Errorf("%q: %+v", kind, got)
+			t.Errorf("freshness %q: got %+v, want the entry ready and the request admitted", kind, got)
 		}
 	}
 }
--- a/internal/entry/inbound_test.go
+++ b/internal/entry/inbound_test.go
@@ -13,7 +13,7 @@
 // a body that was started, or return in the middle of it, and net/http makes the
 // result look complete. Only inbound.go may pass a connection on, to the package that
 // writes answers.
-func TestOnlyVisitFileAccessesCallerConnections(t *testing.T) {
+func TestOnlyInboundFileAccessesCallerConnections(t *testing.T) {
 	files, err := os.ReadDir(".")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/entry/leave_test.go
+++ b/internal/entry/leave_test.go
@@ -22,15 +22,15 @@
 	busy := engineServer("floor-2", second)
 	busy.Load.Running = 9
 	_, server := newEntry(t, entry.Options{}, newSource(engineServer("floor-1", first), busy))
-	ask := func() callResult {
+	send := func() callResult {
 		return call(t, server, http.MethodPost, "/v1/completions", "", completion("x", 2, false))
 	}
-	if got := ask(); got.outcome != outcome.Answered || len(leaving.Started()) != 1 {
+	if got := send(); got.outcome != outcome.Answered || len(leaving.Started()) != 1 {
 		t.Fatalf("before the server leaves: outcome %v, it ran %d requests", got.outcome, len(leaving.Started()))
 	}
 	a.Leave()
 	for range 5 {
-		if got := ask(); got.outcome != outcome.Answered {
+		if got := send(); got.outcome != outcome.Answered {
 			t.Errorf("after the server left: status %d, body %s", got.status, got.body)
 		}
 	}
@@ -39,7 +39,7 @@
 	}
 }
 
-// A booking desk without an agent is shut down, and the entry is not told. Its
+// A booking desk without an agent is shut down without notice to the entry. Its
 // address refuses connections, so even a deposit can safely be sent to the other
 // desk.
 func TestUnannouncedServiceShutdownLosesNoCall(t *testing.T) {
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -38,7 +38,7 @@
 	finishTimeout = time.Second
 	// settleTimeout bounds how long the end of a claim is retried.
 	settleTimeout = time.Minute
-	// claimRetryAfter is the time after which a caller may ask again, in seconds.
+	// claimRetryAfter is the time after which a caller may retry, in seconds.
 	claimRetryAfter = 1
 )
 
@@ -117,8 +117,8 @@
 
 // record stores an answer for replay before the caller receives it. If the control
 // instances cannot be reached in time, the caller gets its answer nevertheless and
-// the answer is stored later; a resend in between is told that the call is in
-// progress.
+// the answer is stored later; a resend in the meantime gets the error that the call
+// is in progress.
 func (a *claimAttempt) record(response *http.Response) error {
 	body, err := io.ReadAll(io.LimitReader(response.Body, claim.MaxAnswer+1))
 	if err != nil {
@@ -200,19 +200,19 @@
 	}
 }
 
-func (in *inbound) replay(kept *claim.Answer) reply {
-	if !kept.Kept {
+func (in *inbound) replay(recorded *claim.Answer) reply {
+	if !recorded.Kept {
 		return in.fail(failure{status: http.StatusConflict, code: codeAnswerNotKept, message: "the call ran and was answered; its answer was too large to keep"})
 	}
 	claimReplayedCount.Add(1)
 	countOutcome(outcome.Answered)
 	header := in.newHeader()
-	for _, field := range kept.Header {
+	for _, field := range recorded.Header {
 		header.Add(field.Name, field.Value)
 	}
 	header.Set(headerReplayed, "true")
 	header.Set(outcome.Header, outcome.Answered.String())
-	return reply{answer.Full(kept.Status, header, kept.Body), outcome.Answered}
+	return reply{answer.Full(recorded.Status, header, recorded.Body), outcome.Answered}
 }
 
 // claimView is the state of a claim as shown to its caller.
@@ -223,8 +223,8 @@
 	Status int `json:"status,omitempty"`
 }
 
-// lookUpClaim answers with the state of a call whose outcome its caller was not
-// told.
+// lookUpClaim answers with the state of a call for which the caller received no
+// outcome.
 func (e *Entry) lookUpClaim(in *inbound, r *http.Request) reply {
 	customer, problem := e.authenticate(r)
 	if problem != nil {
--- a/internal/entry/once_test.go
+++ b/internal/entry/once_test.go
@@ -157,8 +157,8 @@
 	return c
 }
 
-// bookResult is what a caller was told; if the answer was lost, the outcome is
-// unknown.
+// bookResult is the result that a caller received; if the answer was lost, the
+// outcome is unknown.
 type bookResult struct {
 	outcome outcome.Outcome
 	receipt string
@@ -188,8 +188,8 @@
 	callsPerKey     = 5
 )
 
-// bookingModel defines what callers may be told if the call of a key runs at most
-// once: a single receipt, and never "not run" after it ran.
+// bookingModel defines which results callers may receive if the call of a key runs
+// at most once: a single receipt, and never "not run" after it ran.
 var bookingModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{stateNotRun} },
 	Step: func(state, _, output any) []any {
@@ -302,7 +302,7 @@
 }
 
 // A caller resends a finished booking, sends a different call with the same key,
-// and later asks for the state of its call.
+// and later looks up the state of its call.
 func TestFinishedCallIsReplayedAndItsKeyIsBound(t *testing.T) {
 	ran := 0
 	address := startHandler(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -170,7 +170,7 @@
 	}
 }
 
-func eventually(t *testing.T, what string, condition func() bool) {
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for range 500 {
 		if condition() {
@@ -178,5 +178,5 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("timed out waiting for: %s", what)
+	t.Fatalf("timed out waiting for: %s", description)
 }
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -29,7 +29,7 @@
 	// maxResumeAttempts is the maximum number of attempts to resume a cut answer
 	// without progress. All of them fit into the agent's lease.
 	maxResumeAttempts = 4
-	// resumeBackoff is the maximum pause before the first attempt; it doubles with
+	// resumeBackoff is the maximum backoff before the first attempt; it doubles with
 	// each further attempt.
 	resumeBackoff = 50 * time.Millisecond
 	// cancelTimeout bounds the request to an agent that cancels a run.
@@ -45,7 +45,7 @@
 // cut.
 func (e *Entry) resume(ctx context.Context, r *http.Request, c call, server placement.Server, offset int64) (*http.Response, error) {
 	for attempt := range maxResumeAttempts {
-		// The pause is random so that the answers cut by one broken connection are
+		// The backoff is random so that the answers cut by one broken connection are
 		// not all resumed in one burst.
 		if err := wait.For(ctx, rand.N(resumeBackoff<<attempt)); err != nil {
 			return nil, err
--- a/internal/entry/retries.go
+++ b/internal/entry/retries.go
@@ -34,7 +34,7 @@
 	r.budget.Began(contract)
 }
 
-// waitForRetry waits for the pause before a retry and reports whether the call may
+// waitForRetry waits for the backoff before a retry and reports whether the call may
 // then be sent to another server.
 func (r *retrier) waitForRetry(ctx context.Context, c call, attempt int, last outcome.Outcome) bool {
 	if ctx.Err() != nil {
--- a/internal/entry/scenario_test.go
+++ b/internal/entry/scenario_test.go
@@ -143,7 +143,7 @@
 	return l.claimLog.Apply(ctx, command)
 }
 
-// startEntries starts the scenario's entries in front of servers that play the
+// startEntries starts the scenario's entries in front of servers that follow the
 // script.
 func (sc *scenario) startEntries(t *testing.T) [2]*entryServer {
 	var announced []membership.Announcement
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -17,8 +17,8 @@
 	request placement.Request
 	// contract is the ID of the caller's contract.
 	contract string
-	// ask is the admission request of the call.
-	ask        AdmissionRequest
+	// admission is the call's request for admission under its contract.
+	admission  AdmissionRequest
 	path       string
 	body       []byte
 	idempotent bool
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -34,7 +34,7 @@
 	c := call{
 		request:    placement.Request{Kind: membership.KindService, Pool: name},
 		contract:   customer.ID,
-		ask:        AdmissionRequest{Contract: customer},
+		admission:  AdmissionRequest{Contract: customer},
 		path:       path,
 		body:       body,
 		idempotent: route.Idempotent,
--- a/internal/entry/trial.go
+++ b/internal/entry/trial.go
@@ -71,7 +71,7 @@
 	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
 	for {
-		switch t.ask(ctx) {
+		switch t.requestVerdict(ctx) {
 		case suspicion.Run:
 			return nil, nil
 		case suspicion.RunAlone:
@@ -93,7 +93,8 @@
 	}
 }
 
-func (t *trial) ask(ctx context.Context) suspicion.Verdict {
+// requestVerdict requests a verdict on the suspect. An error counts as suspicion.Wait.
+func (t *trial) requestVerdict(ctx context.Context) suspicion.Verdict {
 	ctx, cancel := context.WithTimeout(ctx, verdictTimeout)
 	defer cancel()
 	verdict, err := t.entry.options.Suspicions.Suspect(ctx, suspicion.Command{Ask: &suspicion.Ask{Fingerprint: t.fingerprint, Token: t.token}})
@@ -114,13 +115,13 @@
 	})
 }
 
-// runTrial sends a suspect to a server that runs nothing else meanwhile.
+// runTrial sends a suspect to a server that runs no other request at the same time.
 func (e *Entry) runTrial(in *inbound, r *http.Request, t *trial, attempt func(*http.Request) attemptResult) attemptResult {
 	ctx, cancel := context.WithTimeout(r.Context(), suspicion.DefaultLimits.TrialLease-trialMargin)
 	in.addCleanup(cancel)
-	alone := r.Clone(ctx)
-	alone.Header.Set(wire.HeaderIsolated, "true")
-	result := attempt(alone)
+	isolated := r.Clone(ctx)
+	isolated.Header.Set(wire.HeaderIsolated, "true")
+	result := attempt(isolated)
 	if result.outcome != outcome.Answered {
 		cancel()
 		t.end(r.Context(), result.outcome)
--- a/internal/entry/wait.go
+++ b/internal/entry/wait.go
@@ -50,8 +50,9 @@
 	b.refused = true
 }
 
-// exhausted reports whether the call has waited as long as it may. Its caller is
-// then told immediately instead of after an attempt at another server.
+// exhausted reports whether a server refused the call because of its wait and the
+// wait budget is used up. The call is then refused immediately instead of after an
+// attempt at another server.
 func (b *waitBudget) exhausted() bool {
 	return b != nil && b.refused && !time.Now().Before(b.deadline)
 }
--- a/internal/entry/wait_test.go
+++ b/internal/entry/wait_test.go
@@ -13,8 +13,8 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// Every server is full. The caller must be told which clause ends its wait and that
-// it may retry, and no server may be told a longer wait than remains.
+// Every server is full. The refusal must name the clause that ended the wait and a
+// retry time, and no server may receive a longer wait than remains.
 func TestWaitAtFullServersIsRefusedWithClause(t *testing.T) {
 	var last, attempts atomic.Int64
 	last.Store(1 << 40)
