--- a/internal/limiter/leader_test.go
+++ b/internal/limiter/leader_test.go
@@ -57,16 +57,16 @@
 		}
 		server := rpc.NewServer(handlers)
 		ctx, cancel := context.WithCancel(context.Background())
-		var duties sync.WaitGroup
-		duties.Go(func() { _ = server.Serve(ctx, listener) })
-		duties.Go(func() { r.Run(ctx) })
-		duties.Go(func() { instance.ownership.Run(ctx) })
-		duties.Go(func() { quotas.Run(ctx) })
+		var wg sync.WaitGroup
+		wg.Go(func() { _ = server.Serve(ctx, listener) })
+		wg.Go(func() { r.Run(ctx) })
+		wg.Go(func() { instance.ownership.Run(ctx) })
+		wg.Go(func() { quotas.Run(ctx) })
 		instance.stop = sync.OnceFunc(func() {
 			cancel()
 			_ = listener.Close()
 			server.Close()
-			duties.Wait()
+			wg.Wait()
 		})
 		t.Cleanup(instance.stop)
 		instances = append(instances, instance)
@@ -105,7 +105,7 @@
 	instances, addresses := startControlInstances(t, s, 3)
 	first, epoch := owner(t, instances)
 	l, _ := s.entry("a", addresses...)
-	firstPermit, refused := l.Admit(s.ctx, s.ask(1))
+	firstPermit, refused := l.Admit(s.ctx, s.request(1))
 	if refused != nil {
 		t.Fatalf("refused under the first owner: %+v", refused)
 	}
@@ -114,13 +114,13 @@
 	if nextEpoch <= epoch {
 		t.Fatalf("epoch of the next owner is %d, want more than %d", nextEpoch, epoch)
 	}
-	secondPermit, refused := l.Admit(s.ctx, s.ask(1))
+	secondPermit, refused := l.Admit(s.ctx, s.request(1))
 	if refused != nil {
 		t.Fatalf("refused under the next owner: %+v", refused)
 	}
 	// Another entry finds the concurrency used up.
 	other, _ := s.entry("b", addresses...)
-	shortWait := s.ask(1)
+	shortWait := s.request(1)
 	shortWait.Contract.Limits.MaxWait = 3 * time.Second
 	if _, refused := other.Admit(s.ctx, shortWait); refused == nil || refused.Clause != contract.ClauseConcurrency {
 		t.Errorf("third concurrent request: got %+v, want a refusal for concurrency", refused)
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -1,6 +1,6 @@
-// Package limiter implements the duty of an entry that holds its shares of
-// contracts, admits requests within them and renews them at the owner in
-// control.
+// Package limiter enforces the contracts' limits at an entry. A Limiter holds the
+// entry's shares of contracts, admits requests within them and renews them at their
+// owner, a control instance.
 package limiter
 
 import (
@@ -50,21 +50,22 @@
 	// RPC are the options of the connections to the control instances.
 	RPC []rpc.ClientOption
 	// Freshness, if set, reports whether too few control instances are running
-	// to have a leader, and when this was last observed. No new owner can have
-	// granted anything before that time.
+	// to elect a leader, and when this was last observed. No new owner can have
+	// granted shares before that time.
 	Freshness func() freshness.State
 }
 
 const (
-	// ringSize is the capacity of the duty's event queue. A request that finds
-	// the queue full is refused as not run.
+	// ringSize is the capacity of the quota loop's event queue. A request that
+	// finds the queue full is refused as not run.
 	ringSize = 4096
 	// interval is the time between renewals. shortInterval is used instead
 	// while a request waits for more than the owner had available at the last
 	// renewal.
 	interval      = 500 * time.Millisecond
 	shortInterval = 100 * time.Millisecond
-	// retryDelay is the pause before the next control instance is tried.
+	// retryDelay is the backoff after a failed or refused call, before the next
+	// control instance is called.
 	retryDelay = 25 * time.Millisecond
 	// renewTimeout is the timeout of one renewal. It is short enough for
 	// several renewals within one lease.
@@ -85,7 +86,7 @@
 	stopped   chan struct{}
 }
 
-// New returns a limiter. Run starts its duty.
+// New returns a limiter. Run starts its quota loop.
 func New(options Options, contracts Contracts, log *zap.Logger) *Limiter {
 	return &Limiter{
 		options:   options,
@@ -97,9 +98,9 @@
 	}
 }
 
-// Stop returns the shares to their owner and ends the duty. It must be called
-// after the last request has ended. It returns when the duty has ended or ctx
-// ends.
+// Stop returns the shares to their owner and ends the quota loop. It must be
+// called after the last request has ended. It returns when the loop has ended or
+// ctx ends.
 func (l *Limiter) Stop(ctx context.Context) {
 	l.stopOnce.Do(func() { close(l.stopping) })
 	select {
@@ -108,10 +109,10 @@
 	}
 }
 
-// event is an input to the duty.
-type event interface{ apply(*duty, time.Time) }
+// event is an input to the quota loop.
+type event interface{ apply(*quotaLoop, time.Time) }
 
-type asked struct {
+type requested struct {
 	request quota.Request
 	verdict chan<- quota.Action
 }
@@ -127,35 +128,35 @@
 }
 
 // Admit implements entry.Admission.
-func (l *Limiter) Admit(ctx context.Context, ask entry.AdmissionRequest) (entry.Permit, *entry.Refusal) {
+func (l *Limiter) Admit(ctx context.Context, request entry.AdmissionRequest) (entry.Permit, *entry.Refusal) {
 	id := quota.RequestID(l.nextID.Add(1))
 	verdict := make(chan quota.Action, 1)
-	request := quota.Request{ID: id, Contract: ask.Contract, Tokens: ask.Tokens()}
+	quotaRequest := quota.Request{ID: id, Contract: request.Contract, Tokens: request.Tokens()}
 	select {
-	case l.events <- asked{request, verdict}:
+	case l.events <- requested{quotaRequest, verdict}:
 	default:
 		ringFullCount.Add(1)
 		return nil, &entry.Refusal{RetryAfter: time.Second, Message: "this entry has too many requests at once"}
 	}
 	select {
 	case action := <-verdict:
-		return l.decide(action, ask)
+		return l.decide(action, request)
 	case <-ctx.Done():
-		l.events <- cancelled{ask.Contract.ID, id}
+		l.events <- cancelled{request.Contract.ID, id}
 		return nil, &entry.Refusal{RetryAfter: time.Second, Message: "the caller left"}
 	}
 }
 
-func (l *Limiter) decide(action quota.Action, ask entry.AdmissionRequest) (entry.Permit, *entry.Refusal) {
+func (l *Limiter) decide(action quota.Action, request entry.AdmissionRequest) (entry.Permit, *entry.Refusal) {
 	switch action := action.(type) {
 	case quota.Admit:
 		admittedCount.Add(1)
 		if action.Waited > 0 {
 			queuedCount.Add(1)
 		}
-		return &permit{limiter: l, id: action.ID, prompt: ask.Prompt}, nil
+		return &permit{limiter: l, id: action.ID, prompt: request.Prompt}, nil
 	case quota.Refuse:
-		return nil, refusal(action, ask.Contract)
+		return nil, refusal(action, request.Contract)
 	default:
 		panic("limiter: unknown action")
 	}
@@ -169,7 +170,7 @@
 }
 
 // Settle blocks while the event queue is full, because a lost settlement would
-// keep its slot taken. The duty never waits for a request, so the wait ends.
+// keep its slot taken. The loop never waits for a request, so the wait ends.
 func (p *permit) Settle(use entry.Usage) {
 	p.limiter.events <- settled{p.id, quota.Use{NotRun: use.NotRun, Tokens: usedTokens(use, p.prompt)}}
 }
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -26,7 +26,7 @@
 type site struct {
 	t       *testing.T
 	ctx     context.Context
-	duties  sync.WaitGroup
+	wg      sync.WaitGroup
 	address string
 	mu      sync.Mutex
 	agreed  contract.Contract
@@ -61,13 +61,13 @@
 	ownership := control.SoleOwnership{Epoch: 1, LastIndex: func() uint64 { return 1 }}
 	quotas := control.NewQuotas(quota.DefaultOptions(), ownership, s.Contract, zap.NewNop())
 	server := rpc.NewServer(quotas.Handlers())
-	s.duties.Go(func() { quotas.Run(ctx) })
-	s.duties.Go(func() { _ = server.Serve(ctx, listener) })
+	s.wg.Go(func() { quotas.Run(ctx) })
+	s.wg.Go(func() { _ = server.Serve(ctx, listener) })
 	t.Cleanup(func() {
 		cancel()
 		_ = listener.Close()
 		server.Close()
-		s.duties.Wait()
+		s.wg.Wait()
 	})
 	s.awaitGrants()
 	return s
@@ -77,9 +77,9 @@
 // until no share granted by an earlier owner can be in use.
 func (s *site) awaitGrants() {
 	l, stop := s.entry("first", s.address)
-	permit, refused := l.Admit(s.ctx, s.ask(1))
+	permit, refused := l.Admit(s.ctx, s.request(1))
 	for refused != nil {
-		permit, refused = l.Admit(s.ctx, s.ask(1))
+		permit, refused = l.Admit(s.ctx, s.request(1))
 	}
 	permit.Settle(entry.Usage{})
 	stop()
@@ -88,11 +88,11 @@
 // entry starts a limiter. stop returns its shares to the owner.
 func (s *site) entry(name string, peers ...string) (l *limiter.Limiter, stop func()) {
 	l = limiter.New(limiter.Options{Instance: name, Peers: peers, Quota: quota.DefaultOptions()}, s, zap.NewNop())
-	s.duties.Go(func() { l.Run(s.ctx) })
+	s.wg.Go(func() { l.Run(s.ctx) })
 	return l, func() { l.Stop(s.ctx) }
 }
 
-func (s *site) ask(tokens int64) entry.AdmissionRequest {
+func (s *site) request(tokens int64) entry.AdmissionRequest {
 	agreed, _ := s.Contract("dabke")
 	return entry.AdmissionRequest{Contract: agreed, Generated: tokens}
 }
@@ -107,16 +107,16 @@
 	s := startSite(t, testContract(testLimits()))
 	a, _ := s.entry("a", s.address)
 	b, stopB := s.entry("b", s.address)
-	first, refused := a.Admit(s.ctx, s.ask(1))
+	first, refused := a.Admit(s.ctx, s.request(1))
 	if refused != nil {
 		t.Fatalf("first request refused: %+v", refused)
 	}
-	second, refused := b.Admit(s.ctx, s.ask(1))
+	second, refused := b.Admit(s.ctx, s.request(1))
 	if refused != nil {
 		t.Fatalf("second request refused: %+v", refused)
 	}
 	for _, l := range []*limiter.Limiter{a, b} {
-		_, refused := l.Admit(s.ctx, s.ask(1))
+		_, refused := l.Admit(s.ctx, s.request(1))
 		if refused == nil || refused.Clause != contract.ClauseConcurrency {
 			t.Fatalf("third request: got %+v, want a refusal for concurrency", refused)
 		}
@@ -124,9 +124,9 @@
 	second.Settle(entry.Usage{})
 	stopB()
 	// The slots that b returned are available to a.
-	third, refused := a.Admit(s.ctx, s.ask(1))
+	third, refused := a.Admit(s.ctx, s.request(1))
 	for refused != nil {
-		third, refused = a.Admit(s.ctx, s.ask(1))
+		third, refused = a.Admit(s.ctx, s.request(1))
 	}
 	third.Settle(entry.Usage{})
 	first.Settle(entry.Usage{})
@@ -135,15 +135,15 @@
 func TestRefusalNamesItsClause(t *testing.T) {
 	s := startSite(t, testContract(testLimits()))
 	l, _ := s.entry("a", s.address)
-	if _, refused := l.Admit(s.ctx, s.ask(60_001)); refused == nil || refused.Clause != contract.ClauseTokensPerMinute {
+	if _, refused := l.Admit(s.ctx, s.request(60_001)); refused == nil || refused.Clause != contract.ClauseTokensPerMinute {
 		t.Errorf("more than the tokens of a minute: got %+v, want a refusal for tokens per minute", refused)
 	}
-	permit, refused := l.Admit(s.ctx, s.ask(60_000))
+	permit, refused := l.Admit(s.ctx, s.request(60_000))
 	if refused != nil {
 		t.Fatalf("the tokens of a minute refused: %+v", refused)
 	}
 	defer permit.Settle(entry.Usage{Tokens: 60_000})
-	if _, refused := l.Admit(s.ctx, s.ask(30_000)); refused == nil || refused.Clause != contract.ClauseTokensPerMinute || refused.RetryAfter <= 0 {
+	if _, refused := l.Admit(s.ctx, s.request(30_000)); refused == nil || refused.Clause != contract.ClauseTokensPerMinute || refused.RetryAfter <= 0 {
 		t.Errorf("tokens of half a minute more: got %+v, want a refusal with a retry time", refused)
 	}
 }
@@ -155,21 +155,21 @@
 	limits.Concurrency, limits.MaxWait = 1, time.Minute
 	s := startSite(t, testContract(limits))
 	l, _ := s.entry("a", s.address)
-	first, refused := l.Admit(s.ctx, s.ask(1))
+	first, refused := l.Admit(s.ctx, s.request(1))
 	if refused != nil {
 		t.Fatalf("refused: %+v", refused)
 	}
 	ctx, cancel := context.WithCancel(s.ctx)
 	var waiting sync.WaitGroup
 	waiting.Go(func() {
-		if _, refused := l.Admit(ctx, s.ask(1)); refused == nil {
+		if _, refused := l.Admit(ctx, s.request(1)); refused == nil {
 			t.Error("a second request was admitted")
 		}
 	})
 	cancel()
 	waiting.Wait()
 	first.Settle(entry.Usage{})
-	next, refused := l.Admit(s.ctx, s.ask(1))
+	next, refused := l.Admit(s.ctx, s.request(1))
 	if refused != nil {
 		t.Fatalf("refused: %+v", refused)
 	}
@@ -187,12 +187,12 @@
 	defer refuser.Close()
 	unreachable := refuser.Address()
 	l, _ := s.entry("a", unreachable)
-	if _, refused := l.Admit(s.ctx, s.ask(1)); refused == nil || refused.Clause != "" {
+	if _, refused := l.Admit(s.ctx, s.request(1)); refused == nil || refused.Clause != "" {
 		t.Errorf("got %+v, want a refusal without a clause", refused)
 	}
 	// The next instance in the list owns the quotas and must be found.
 	found, _ := s.entry("b", unreachable, s.address)
-	permit, refused := found.Admit(s.ctx, s.ask(1))
+	permit, refused := found.Admit(s.ctx, s.request(1))
 	if refused != nil {
 		t.Fatalf("refused: %+v", refused)
 	}
@@ -206,7 +206,7 @@
 	s := startSite(t, testContract(limits))
 	l, _ := s.entry("a", s.address)
 	for range 2 {
-		if _, refused := l.Admit(s.ctx, s.ask(1)); refused != nil {
+		if _, refused := l.Admit(s.ctx, s.request(1)); refused != nil {
 			t.Fatalf("refused: %+v", refused)
 		}
 	}
