--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -59,10 +59,10 @@
 	// it full is refused as not run.
 	requests chan event
 	// priorityEvents is the queue of releases and of the results of orders. The
-	// slot duty drains it first and never blocks, so that a flood of requests
+	// slot loop drains it first and never blocks, so that a flood of requests
 	// cannot delay a release.
 	priorityEvents chan event
-	// stopped is closed when the slot duty has ended and no longer reads the
+	// stopped is closed when the slot loop has ended and no longer reads the
 	// queues.
 	stopped chan struct{}
 	permits *permitClient
@@ -83,7 +83,7 @@
 	status         atomic.Pointer[membership.Load]
 }
 
-// New returns an agent. Run starts its duties.
+// New returns an agent. Run starts its goroutines.
 func New(options Options, client *http.Client, log *zap.Logger) *Agent {
 	a := &Agent{
 		options:        options,
@@ -105,22 +105,22 @@
 	return a
 }
 
-// eventSlack is the capacity of the slot duty's event queues beyond one event
+// eventSlack is the capacity of the slot loop's event queues beyond one event
 // per queued request.
 const eventSlack = 64
 
-// Run starts the slot duty, the engine watch, the permit duty and the
-// announcements. It returns when ctx ends.
+// Run runs the slot and seat loops, the permit client, the polling of the engine
+// and of the wanted state, and the announcements. It returns when ctx ends.
 func (a *Agent) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	duties.Go(func() { a.runSlots(ctx) })
-	duties.Go(func() { a.acquireFencing(ctx) })
-	duties.Go(func() { a.seats.run(ctx) })
-	duties.Go(func() { a.watchEngine(ctx) })
-	duties.Go(func() { a.permits.run(ctx, a.sendPriority) })
-	duties.Go(func() { a.announceAll(ctx) })
-	duties.Go(func() { a.followWanted(ctx) })
-	duties.Wait()
+	var wg sync.WaitGroup
+	wg.Go(func() { a.runSlots(ctx) })
+	wg.Go(func() { a.acquireFencing(ctx) })
+	wg.Go(func() { a.seats.run(ctx) })
+	wg.Go(func() { a.watchEngine(ctx) })
+	wg.Go(func() { a.permits.run(ctx, a.sendPriority) })
+	wg.Go(func() { a.announceAll(ctx) })
+	wg.Go(func() { a.followWanted(ctx) })
+	wg.Wait()
 }
 
 // watchEngine polls the engine's load and detects its restarts.
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -61,7 +61,7 @@
 	return &backend{engine: e, engineURL: server.URL, server: "floor-assist-1"}
 }
 
-// startAgent starts an agent beside the engine. stop ends its duties
+// startAgent starts an agent beside the engine. stop ends its goroutines
 // immediately, as a crash would.
 func (b *backend) startAgent(t *testing.T, slots int, peers ...string) (url string, stop func()) {
 	t.Helper()
@@ -74,13 +74,13 @@
 		Slots: slots, Queue: 32, LoadTimeout: cmp.Or(b.loadTimeout, defaultLoadTimeout), AnnounceInterval: 20 * time.Millisecond, ControlPeers: peers,
 	}, &http.Client{}, zap.NewNop())
 	server := httptest.NewServer(a.Handler())
-	var duties sync.WaitGroup
-	duties.Go(func() { a.Run(ctx) })
+	var wg sync.WaitGroup
+	wg.Go(func() { a.Run(ctx) })
 	stop = sync.OnceFunc(func() {
 		cancel()
 		server.CloseClientConnections()
 		server.Close()
-		duties.Wait()
+		wg.Wait()
 	})
 	t.Cleanup(stop)
 	return server.URL, stop
--- a/internal/agent/broker_test.go
+++ b/internal/agent/broker_test.go
@@ -43,9 +43,9 @@
 		t.Fatal(err)
 	}
 	server := rpc.NewServer(map[string]rpc.Handler{wire.MethodLoads: rpc.Typed(loads.Sync)})
-	var duties sync.WaitGroup
-	duties.Go(func() { _ = server.Serve(t.Context(), listener) })
-	duties.Go(func() { loads.Run(t.Context()) })
+	var wg sync.WaitGroup
+	wg.Go(func() { _ = server.Serve(t.Context(), listener) })
+	wg.Go(func() { loads.Run(t.Context()) })
 	stop = sync.OnceFunc(func() {
 		_ = listener.Close()
 		server.Close()
--- a/internal/agent/fencing.go
+++ b/internal/agent/fencing.go
@@ -14,7 +14,7 @@
 
 var supersededCount = telemetry.Counter("agent_superseded")
 
-// fencingRetry is the pause after a failed request for a fencing number.
+// fencingRetry is the backoff after a failed request for a fencing number.
 const fencingRetry = 200 * time.Millisecond
 
 var errNoNumber = errors.New("no fencing number was issued yet")
--- a/internal/agent/fencing_test.go
+++ b/internal/agent/fencing_test.go
@@ -50,7 +50,7 @@
 		t.Errorf("replaced agent still accepts requests: %+v", got)
 	}
 	if loaded := b.engine.Loaded(); slices.Contains(loaded, "c@1") || b.engine.EvictedInUse() != 0 {
-		t.Errorf("engine holds %v", loaded)
+		t.Errorf("engine holds %v, want neither c@1 nor an eviction of an adapter in use", loaded)
 	}
 	b.mustAnswer(t, replacement, "b@1")
 }
--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -180,7 +180,7 @@
 	reply := make(chan verdict, 1)
 	request := requested{
 		id: id, ref: ref, source: r.Header.Get(HeaderSource), weight: loadWeight(r.Header),
-		patient: r.Header.Get(wire.HeaderMayDecline) == "", reply: reply,
+		waitForSlot: r.Header.Get(wire.HeaderMayDecline) == "", reply: reply,
 	}
 	select {
 	case a.requests <- request:
--- a/internal/agent/gate_test.go
+++ b/internal/agent/gate_test.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// The agent is told to stop, and a request arrives from an entry that does not
-// know it yet. It must be refused as not-run, so that the entry retries on
+// The agent is stopping, and a request arrives from an entry that does not know
+// that yet. It must be refused as not-run, so that the entry retries on
 // another server.
 func TestLeavingAgentAnswersNotRun(t *testing.T) {
 	a := New(Options{Server: "s", Slots: 1, Queue: 1}, &http.Client{}, zap.NewNop())
@@ -144,10 +144,10 @@
 	recorder := httptest.NewRecorder()
 	a.Handler().ServeHTTP(recorder, engineRequest(t.Context(), "m@1"))
 	if got := recorder.Header().Get(outcome.Header); got != outcome.NotRun.String() {
-		t.Errorf("outcome %q", got)
+		t.Errorf("got outcome %q, want not-run", got)
 	}
 	if left := a.Wait(t.Context()); left != 0 {
-		t.Errorf("%d requests are in flight", left)
+		t.Errorf("%d requests are in flight, want none", left)
 	}
 }
 
@@ -167,7 +167,7 @@
 			return a.start(r, ref, []byte(`{}`), func() {}).answerFrom(r.Context(), 0)
 		}).ServeHTTP(recorder, r)
 		if recorder.Header().Get(outcome.Header) != outcome.Unknown.String() || strings.Contains(recorder.Body.String(), "base") {
-			t.Errorf("outcome %q: %s", recorder.Header().Get(outcome.Header), recorder.Body)
+			t.Errorf("got outcome %q and body %s, want unknown without the other model's answer", recorder.Header().Get(outcome.Header), recorder.Body)
 		}
 	}
 }
--- a/internal/agent/isolation_test.go
+++ b/internal/agent/isolation_test.go
@@ -31,7 +31,7 @@
 		expectRefused := func(when string, exclusive bool) {
 			synctest.Wait()
 			if _, err := i.enter(t.Context(), exclusive); !errors.Is(err, errIsolated) {
-				t.Errorf("%s: another request (exclusive %v) got %v", when, exclusive, err)
+				t.Errorf("%s: another request (exclusive %v) got %v, want errIsolated", when, exclusive, err)
 			}
 		}
 		expectRefused("while the suspect waits", false)
--- a/internal/agent/permits.go
+++ b/internal/agent/permits.go
@@ -41,8 +41,8 @@
 	maxLocalLoads = 1
 )
 
-// permitClient obtains load permits from the site's load broker. The slot duty
-// updates the wanted permits and the permit duty reports them.
+// permitClient obtains load permits from the site's load broker. The slot loop
+// updates the wanted permits, and run reports them.
 type permitClient struct {
 	agent       string
 	incarnation uint64
@@ -246,7 +246,7 @@
 	p.finished = slices.DeleteFunc(slices.Clone(p.finished), func(f broker.Finished) bool { return slices.Contains(finished, f) })
 }
 
-// grant passes a permit to the slot duty. It ignores duplicate grants.
+// grant passes a permit to the slot loop. It ignores duplicate grants.
 func (p *permitClient) grant(order slots.OrderID, send func(event)) {
 	p.mu.Lock()
 	wanted := slices.ContainsFunc(p.wanted, func(a slots.Ask) bool { return a.Order == order })
--- a/internal/agent/random_engine_test.go
+++ b/internal/agent/random_engine_test.go
@@ -244,8 +244,8 @@
 	h.agent = New(Options{
 		Server: "s", BaseModel: "base", Engine: "http://engine", Slots: 1, Queue: 8, LoadTimeout: testTimeout, AnnounceInterval: time.Second, ControlPeers: []string{"127.0.0.1:1"},
 	}, &http.Client{Transport: relay.NewTransportOver(h.dial)}, zap.NewNop())
-	var duties sync.WaitGroup
-	duties.Go(func() { h.agent.Run(ctx) })
+	var wg sync.WaitGroup
+	wg.Go(func() { h.agent.Run(ctx) })
 	server := &httptest.Server{Listener: listener, Config: &http.Server{Handler: h.agent.Handler()}}
 	server.Start()
 	t.Cleanup(func() {
@@ -253,7 +253,7 @@
 		cancel()
 		server.CloseClientConnections()
 		server.Close()
-		duties.Wait()
+		wg.Wait()
 	})
 	return h
 }
--- a/internal/agent/seats.go
+++ b/internal/agent/seats.go
@@ -44,15 +44,15 @@
 )
 
 // seats manages the places in the engine's batch. If all are taken, requests
-// wait here in weighted fair order rather than in the engine's queue, which
-// does not know the contracts.
+// wait here in weighted fair order rather than in the engine's queue, which is
+// not aware of contracts.
 type seats struct {
 	events chan seatEvent
 	// capacity returns the number of requests that the engine batches, or 0
 	// while it is unknown.
 	capacity func() int
 	limit    int
-	// stopped is closed when the duty has ended and no longer reads events.
+	// stopped is closed when the seat loop has ended and no longer reads events.
 	stopped chan struct{}
 }
 
@@ -65,7 +65,7 @@
 	}
 }
 
-type seatEvent interface{ apply(*seatDuty, time.Time) }
+type seatEvent interface{ apply(*seatLoop, time.Time) }
 
 type seatRequested struct {
 	item  fairqueue.Item
@@ -123,7 +123,7 @@
 }
 
 // release blocks while the event queue is full, because a seat that is not
-// released is lost. The duty never blocks, so the wait ends.
+// released is lost. The seat loop never blocks, so the wait ends.
 func (s *seats) release(id fairqueue.ID) {
 	select {
 	case s.events <- seatReleased{id}:
@@ -131,8 +131,9 @@
 	}
 }
 
-// seatDuty owns the seats. No other goroutine accesses them.
-type seatDuty struct {
+// seatLoop is the state of the goroutine that owns the seats. No other goroutine
+// accesses them.
+type seatLoop struct {
 	*seats
 	queue   *fairqueue.Queue
 	replies map[fairqueue.ID]chan<- fairqueue.Refusal
@@ -146,7 +147,7 @@
 // run grants seats until ctx ends.
 func (s *seats) run(ctx context.Context) {
 	defer close(s.stopped)
-	d := &seatDuty{
+	loop := &seatLoop{
 		seats:      s,
 		queue:      fairqueue.New(fairqueue.Options{Limit: s.limit, HeadStart: headStart, MaxHeadStart: maxHeadStart}),
 		replies:    make(map[fairqueue.ID]chan<- fairqueue.Refusal),
@@ -160,62 +161,62 @@
 		case <-ctx.Done():
 			return
 		case e := <-s.events:
-			e.apply(d, time.Now())
+			e.apply(loop, time.Now())
 		case <-timer.C:
 		}
 		now := time.Now()
-		d.measure(now)
-		d.refuse(d.queue.Expire(now)...)
-		d.fill()
-		timer.Reset(d.nextWake(now))
+		loop.measure(now)
+		loop.refuse(loop.queue.Expire(now)...)
+		loop.fill()
+		timer.Reset(loop.nextWake(now))
 	}
 }
 
-func (e seatRequested) apply(d *seatDuty, now time.Time) {
-	d.replies[e.item.ID] = e.reply
-	if d.queue.Len() == 0 && d.hasFree() {
-		d.grant(e.item)
+func (e seatRequested) apply(l *seatLoop, now time.Time) {
+	l.replies[e.item.ID] = e.reply
+	if l.queue.Len() == 0 && l.hasFree() {
+		l.grant(e.item)
 		return
 	}
 	seatWaitedCount.Add(1)
-	if refusal, refused := d.queue.Push(e.item, now); refused {
-		d.refuse(refusal)
+	if refusal, refused := l.queue.Push(e.item, now); refused {
+		l.refuse(refusal)
 	}
 }
 
-func (e seatReleased) apply(d *seatDuty, _ time.Time) {
-	if cost, ok := d.inUse[e.id]; ok {
-		delete(d.inUse, e.id)
-		d.servedCost += cost
+func (e seatReleased) apply(l *seatLoop, _ time.Time) {
+	if cost, ok := l.inUse[e.id]; ok {
+		delete(l.inUse, e.id)
+		l.servedCost += cost
 		return
 	}
-	d.queue.Remove(e.id)
-	delete(d.replies, e.id)
+	l.queue.Remove(e.id)
+	delete(l.replies, e.id)
 }
 
 // hasFree reports whether the engine can batch another request. It returns true
 // while the engine's capacity is unknown.
-func (d *seatDuty) hasFree() bool {
-	capacity := d.capacity()
-	return capacity <= 0 || len(d.inUse) < capacity+max(1, capacity/spareSeatDivisor)
+func (l *seatLoop) hasFree() bool {
+	capacity := l.capacity()
+	return capacity <= 0 || len(l.inUse) < capacity+max(1, capacity/spareSeatDivisor)
 }
 
-func (d *seatDuty) fill() {
-	for d.hasFree() {
-		item, ok := d.queue.Pop()
+func (l *seatLoop) fill() {
+	for l.hasFree() {
+		item, ok := l.queue.Pop()
 		if !ok {
 			return
 		}
-		d.grant(item)
+		l.grant(item)
 	}
 }
 
-func (d *seatDuty) grant(item fairqueue.Item) {
-	d.inUse[item.ID] = item.Cost
-	d.answer(item.ID, seatGranted)
+func (l *seatLoop) grant(item fairqueue.Item) {
+	l.inUse[item.ID] = item.Cost
+	l.answer(item.ID, seatGranted)
 }
 
-func (d *seatDuty) refuse(refusals ...fairqueue.Refusal) {
+func (l *seatLoop) refuse(refusals ...fairqueue.Refusal) {
 	for _, refusal := range refusals {
 		switch refusal.Reason {
 		case fairqueue.ReasonExpired:
@@ -225,39 +226,39 @@
 		default:
 			seatFullCount.Add(1)
 		}
-		d.answer(refusal.Item.ID, refusal)
+		l.answer(refusal.Item.ID, refusal)
 	}
 }
 
-func (d *seatDuty) answer(id fairqueue.ID, refusal fairqueue.Refusal) {
-	d.replies[id] <- refusal
-	delete(d.replies, id)
+func (l *seatLoop) answer(id fairqueue.ID, refusal fairqueue.Refusal) {
+	l.replies[id] <- refusal
+	delete(l.replies, id)
 }
 
 // measure updates the moving average of the service rate. Only intervals with
 // waiting requests count, because a server with free seats does not run at its
 // maximum rate.
-func (d *seatDuty) measure(now time.Time) {
-	elapsed := now.Sub(d.measuredAt)
+func (l *seatLoop) measure(now time.Time) {
+	elapsed := now.Sub(l.measuredAt)
 	if elapsed < rateInterval {
 		return
 	}
-	rate := d.servedCost / elapsed.Seconds()
-	d.servedCost, d.measuredAt = 0, now
+	rate := l.servedCost / elapsed.Seconds()
+	l.servedCost, l.measuredAt = 0, now
 	switch {
-	case d.queue.Len() == 0:
-		d.rate = 0
-	case d.rate == 0:
-		d.rate = rate
+	case l.queue.Len() == 0:
+		l.rate = 0
+	case l.rate == 0:
+		l.rate = rate
 	default:
-		d.rate += rateGain * (rate - d.rate)
+		l.rate += rateGain * (rate - l.rate)
 	}
-	d.queue.SetRate(d.rate)
+	l.queue.SetRate(l.rate)
 }
 
-func (d *seatDuty) nextWake(now time.Time) time.Duration {
+func (l *seatLoop) nextWake(now time.Time) time.Duration {
 	wake := rateInterval
-	if deadline, ok := d.queue.NextDeadline(); ok {
+	if deadline, ok := l.queue.NextDeadline(); ok {
 		wake = min(wake, max(0, deadline.Sub(now)))
 	}
 	return wake
--- a/internal/agent/seats_test.go
+++ b/internal/agent/seats_test.go
@@ -12,7 +12,7 @@
 	"github.com/rosemarypass/rosemarypass/internal/wire"
 )
 
-// testWithSeats runs a test with a seat duty and virtual time.
+// testWithSeats runs a test with a seat loop and virtual time.
 func testWithSeats(t *testing.T, limit, capacity int, test func(t *testing.T, s *seats)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSeats(limit, func() int { return capacity })
@@ -78,10 +78,10 @@
 		err := s.acquire(t.Context(), seatItem(2, "a", 1, 1500*time.Millisecond))
 		var waitErr *waitError
 		if !errors.As(err, &waitErr) || waitErr.reason != fairqueue.ReasonExpired {
-			t.Errorf("got %v", err)
+			t.Errorf("got %v, want an expired wait", err)
 		}
 		if waited := time.Since(began); waited != 1500*time.Millisecond {
-			t.Errorf("waited %v", waited)
+			t.Errorf("waited %v, want 1.5s", waited)
 		}
 		ctx, cancelWait := context.WithCancel(t.Context())
 		left := make(chan error)
@@ -89,7 +89,7 @@
 		synctest.Wait()
 		cancelWait()
 		if err := <-left; !errors.Is(err, context.Canceled) {
-			t.Errorf("got %v", err)
+			t.Errorf("got %v, want context.Canceled", err)
 		}
 		s.release(0)
 		if err := s.acquire(t.Context(), seatItem(4, "a", 1, time.Second)); err != nil {
--- a/internal/agent/slotduty.go
+++ b/internal/agent/slotloop.go
@@ -36,9 +36,9 @@
 	loadTimeGain = 0.2
 )
 
-// event is an input to the slot duty.
+// event is an input to the slot loop.
 type event interface {
-	apply(d *slotDuty, now time.Time) []slots.Action
+	apply(l *slotLoop, now time.Time) []slots.Action
 }
 
 type requested struct {
@@ -48,10 +48,10 @@
 	// entry.
 	source string
 	weight float64
-	// patient requests wait for a slot. Others are declined if none is
-	// obtainable.
-	patient bool
-	reply   chan<- verdict
+	// waitForSlot makes the request wait for a slot. Otherwise it is declined if
+	// no slot is obtainable.
+	waitForSlot bool
+	reply       chan<- verdict
 }
 
 type (
@@ -86,9 +86,9 @@
 	since time.Time
 }
 
-// slotDuty owns the slot table. No other goroutine accesses the table. The duty
-// never blocks except to wait for events.
-type slotDuty struct {
+// slotLoop is the state of the goroutine that owns the slot table. No other
+// goroutine accesses the table. The loop never blocks except to wait for events.
+type slotLoop struct {
 	// stalls averages the load stalls of recent requests, for operators.
 	stalls      stallMeter
 	agent       *Agent
@@ -104,7 +104,7 @@
 
 func (a *Agent) runSlots(ctx context.Context) {
 	defer close(a.stopped)
-	duty := &slotDuty{
+	loop := &slotLoop{
 		agent:       a,
 		table:       slots.NewTable(slots.Options{Slots: a.options.Slots, Queue: a.options.Queue}),
 		replies:     make(map[slots.RequestID]pendingReply),
@@ -114,25 +114,25 @@
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		if e, ok := duty.next(ctx, ticker.C); ok {
+		if e, ok := loop.next(ctx, ticker.C); ok {
 			now := time.Now()
-			duty.perform(ctx, e.apply(duty, now), now)
-			duty.publish(now)
+			loop.perform(ctx, e.apply(loop, now), now)
+			loop.publish(now)
 		}
 	}
 }
 
 // next returns the next event, priority events first.
-func (d *slotDuty) next(ctx context.Context, tick <-chan time.Time) (event, bool) {
+func (l *slotLoop) next(ctx context.Context, tick <-chan time.Time) (event, bool) {
 	select {
-	case e := <-d.agent.priorityEvents:
+	case e := <-l.agent.priorityEvents:
 		return e, true
 	default:
 	}
 	select {
-	case e := <-d.agent.priorityEvents:
+	case e := <-l.agent.priorityEvents:
 		return e, true
-	case e := <-d.agent.requests:
+	case e := <-l.agent.requests:
 		return e, true
 	case <-tick:
 		return ticked{}, true
@@ -141,8 +141,8 @@
 	}
 }
 
-// sendPriority sends an event to the slot duty. It blocks only while the queue
-// is full, and the duty drains the queue without blocking.
+// sendPriority sends an event to the slot loop. It blocks only while the queue
+// is full, and the loop drains the queue without blocking.
 func (a *Agent) sendPriority(e event) {
 	select {
 	case a.priorityEvents <- e:
@@ -159,57 +159,58 @@
 	}
 }
 
-func (d *slotDuty) publish(now time.Time) {
-	report := d.table.Report(now)
-	d.agent.status.Store(&membership.Load{
+func (l *slotLoop) publish(now time.Time) {
+	report := l.table.Report(now)
+	l.agent.status.Store(&membership.Load{
 		Running:    report.Running,
 		Waiting:    report.Waiting,
-		Capacity:   d.capacity,
+		Capacity:   l.capacity,
 		Resident:   report.Resident,
 		Loading:    report.Loading,
 		Obtainable: report.Obtainable,
 		VictimUse:  report.VictimUse,
-		LoadMillis: int(d.loadTime.Milliseconds()),
+		LoadMillis: int(l.loadTime.Milliseconds()),
 
-		StallPercent: d.stalls.percent(),
-		StallMillis:  d.stalls.millis(),
+		StallPercent: l.stalls.percent(),
+		StallMillis:  l.stalls.millis(),
 	})
 }
 
-func (d *slotDuty) perform(ctx context.Context, actions []slots.Action, now time.Time) {
+func (l *slotLoop) perform(ctx context.Context, actions []slots.Action, now time.Time) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case slots.Start:
-			d.answer(action.Request, verdict{start: true}, now)
+			l.answer(action.Request, verdict{start: true}, now)
 		case slots.Refuse:
-			d.answer(action.Request, verdict{reason: action.Reason}, now)
+			l.answer(action.Request, verdict{reason: action.Reason}, now)
 		case slots.Ask:
-			if _, known := d.requestedAt[action.Order]; !known {
-				d.requestedAt[action.Order] = now
+			if _, known := l.requestedAt[action.Order]; !known {
+				l.requestedAt[action.Order] = now
 			}
-			d.agent.permits.request(action)
+			l.agent.permits.request(action)
 		case slots.Return:
-			delete(d.requestedAt, action.Order)
-			d.agent.permits.release(action.Order)
+			delete(l.requestedAt, action.Order)
+			l.agent.permits.release(action.Order)
 		case slots.Load:
 			loadCount.Add(1)
-			d.agent.permits.loadStarted(action.Order)
-			go d.agent.load(ctx, action, d.sources[action.Ref])
+			l.agent.permits.loadStarted(action.Order)
+			go l.agent.load(ctx, action, l.sources[action.Ref])
 		case slots.Unload:
 			unloadCount.Add(1)
-			go d.agent.unload(ctx, action)
+			go l.agent.unload(ctx, action)
 		}
 	}
 }
 
-// answer sends a request its verdict, at most once. The channel is buffered.
-func (d *slotDuty) answer(id slots.RequestID, v verdict, now time.Time) {
-	pending, ok := d.replies[id]
+// answer sends the verdict on a request, at most once. It does not block,
+// because the channel is buffered.
+func (l *slotLoop) answer(id slots.RequestID, v verdict, now time.Time) {
+	pending, ok := l.replies[id]
 	if !ok {
 		return
 	}
-	delete(d.replies, id)
-	d.stalls.observe(now.Sub(pending.since))
+	delete(l.replies, id)
+	l.stalls.observe(now.Sub(pending.since))
 	if waited := now.Sub(pending.since); waited > 0 {
 		stalledCount.Add(1)
 		stallMillis.Add(waited.Milliseconds())
@@ -254,108 +255,109 @@
 
 type ticked struct{}
 
-func (ticked) apply(d *slotDuty, now time.Time) []slots.Action { return d.table.Tick(now) }
+func (ticked) apply(l *slotLoop, now time.Time) []slots.Action { return l.table.Tick(now) }
 
-func (e requested) apply(d *slotDuty, now time.Time) []slots.Action {
-	d.replies[e.id] = pendingReply{reply: e.reply, ref: e.ref, since: now}
-	d.sources[e.ref] = e.source
-	d.pruneSources()
-	return d.table.Request(slots.Claim{Request: e.id, Ref: e.ref, Weight: e.weight, Patient: e.patient}, now)
+func (e requested) apply(l *slotLoop, now time.Time) []slots.Action {
+	l.replies[e.id] = pendingReply{reply: e.reply, ref: e.ref, since: now}
+	l.sources[e.ref] = e.source
+	l.pruneSources()
+	return l.table.Request(slots.Claim{Request: e.id, Ref: e.ref, Weight: e.weight, Patient: e.waitForSlot}, now)
 }
 
 // pruneSources drops the sources of all adapters that no request waits for,
-// once the map is large. An agent may see every adapter of the catalogue.
-func (d *slotDuty) pruneSources() {
-	if len(d.sources) <= 2*(d.agent.options.Queue+d.agent.options.Slots) {
+// once the map is large. Otherwise the map could grow to the size of the
+// catalogue.
+func (l *slotLoop) pruneSources() {
+	if len(l.sources) <= 2*(l.agent.options.Queue+l.agent.options.Slots) {
 		return
 	}
-	kept := make(map[catalogue.Ref]string, len(d.replies))
-	for _, pending := range d.replies {
-		kept[pending.ref] = d.sources[pending.ref]
+	kept := make(map[catalogue.Ref]string, len(l.replies))
+	for _, pending := range l.replies {
+		kept[pending.ref] = l.sources[pending.ref]
 	}
-	d.sources = kept
+	l.sources = kept
 }
 
-func (e cancelled) apply(d *slotDuty, now time.Time) []slots.Action {
-	delete(d.replies, e.id)
-	return append(d.table.Cancel(e.id, now), d.table.Release(e.id, now)...)
+func (e cancelled) apply(l *slotLoop, now time.Time) []slots.Action {
+	delete(l.replies, e.id)
+	return append(l.table.Cancel(e.id, now), l.table.Release(e.id, now)...)
 }
 
-func (e released) apply(d *slotDuty, now time.Time) []slots.Action { return d.table.Release(e.id, now) }
+func (e released) apply(l *slotLoop, now time.Time) []slots.Action { return l.table.Release(e.id, now) }
 
-func (e adapterLost) apply(d *slotDuty, now time.Time) []slots.Action {
-	return d.table.AdapterMissing(e.ref, now)
+func (e adapterLost) apply(l *slotLoop, now time.Time) []slots.Action {
+	return l.table.AdapterMissing(e.ref, now)
 }
 
-func (e permitted) apply(d *slotDuty, now time.Time) []slots.Action {
-	return d.table.Granted(e.order, now)
+func (e permitted) apply(l *slotLoop, now time.Time) []slots.Action {
+	return l.table.Granted(e.order, now)
 }
 
-func (e loadDone) apply(d *slotDuty, now time.Time) []slots.Action {
-	requestedAt, known := d.requestedAt[e.action.Order]
+func (e loadDone) apply(l *slotLoop, now time.Time) []slots.Action {
+	requestedAt, known := l.requestedAt[e.action.Order]
 	switch status := refusalStatus(e.err); {
 	case status == http.StatusConflict:
-		return d.table.LoadFull(e.action.Order, now)
+		return l.table.LoadFull(e.action.Order, now)
 	case e.err != nil:
-		return d.table.LoadFailed(e.action.Order, status != 0, now)
+		return l.table.LoadFailed(e.action.Order, status != 0, now)
 	}
 	if known {
-		d.loadTime += time.Duration(loadTimeGain * float64(now.Sub(requestedAt)-d.loadTime))
+		l.loadTime += time.Duration(loadTimeGain * float64(now.Sub(requestedAt)-l.loadTime))
 	}
-	d.agent.permits.loadFinished(e.action.Order)
-	return d.table.Loaded(e.action.Order, now)
+	l.agent.permits.loadFinished(e.action.Order)
+	return l.table.Loaded(e.action.Order, now)
 }
 
-func (e unloadDone) apply(d *slotDuty, now time.Time) []slots.Action {
+func (e unloadDone) apply(l *slotLoop, now time.Time) []slots.Action {
 	if e.err != nil {
-		return d.table.UnloadFailed(e.action.Order, now)
+		return l.table.UnloadFailed(e.action.Order, now)
 	}
-	return d.table.Unloaded(e.action.Order, now)
+	return l.table.Unloaded(e.action.Order, now)
 }
 
 // apply processes an engine's report. The first report shows which adapters an
 // earlier agent left loaded. A changed incarnation means that the engine has
 // restarted and is empty.
-func (e engineReported) apply(d *slotDuty, now time.Time) []slots.Action {
-	d.capacity = e.report.Capacity
+func (e engineReported) apply(l *slotLoop, now time.Time) []slots.Action {
+	l.capacity = e.report.Capacity
 	switch {
-	case d.incarnation == 0:
-		d.incarnation = e.report.Incarnation
-		d.adopt(e.report, now)
+	case l.incarnation == 0:
+		l.incarnation = e.report.Incarnation
+		l.adopt(e.report, now)
 		return nil
-	case d.incarnation != e.report.Incarnation:
-		d.incarnation = e.report.Incarnation
+	case l.incarnation != e.report.Incarnation:
+		l.incarnation = e.report.Incarnation
 		engineRestartCount.Add(1)
-		d.agent.log.Info("engine restarted", zap.Uint64("incarnation", e.report.Incarnation))
-		actions := d.table.EngineRestarted()
+		l.agent.log.Info("engine restarted", zap.Uint64("incarnation", e.report.Incarnation))
+		actions := l.table.EngineRestarted()
 		// Before the restart was detected, requests may have loaded adapters
 		// and may be running on them. The engine's report lists these adapters.
-		d.adopt(e.report, now)
+		l.adopt(e.report, now)
 		return actions
-	case now.Sub(d.adoptedAt) < settleTime:
+	case now.Sub(l.adoptedAt) < settleTime:
 		return nil
 	default:
-		return d.table.InUse(d.inUse(e.report), now)
+		return l.table.InUse(l.inUse(e.report), now)
 	}
 }
 
 // adopt adds the adapters that the engine holds to the table. They stay pinned
 // until the engine reports reliably that they serve no requests.
-func (d *slotDuty) adopt(report engineReport, now time.Time) {
-	d.adoptedAt = now
+func (l *slotLoop) adopt(report engineReport, now time.Time) {
+	l.adoptedAt = now
 	for _, name := range report.Adapters {
 		ref, err := catalogue.ParseRef(name)
 		if err != nil {
 			continue
 		}
 		adoptedCount.Add(1)
-		d.table.Adopt(ref, true)
+		l.table.Adopt(ref, true)
 	}
 }
 
-func (e engineFull) apply(d *slotDuty, now time.Time) []slots.Action {
-	if e.report.Incarnation == d.incarnation {
-		d.adopt(e.report, now)
+func (e engineFull) apply(l *slotLoop, now time.Time) []slots.Action {
+	if e.report.Incarnation == l.incarnation {
+		l.adopt(e.report, now)
 	}
 	return nil
 }
@@ -363,9 +365,9 @@
 // inUse returns the adapters that serve requests. If the engine reports only a
 // total number of running requests, and it exceeds this agent's own requests,
 // any adopted adapter may be in use.
-func (d *slotDuty) inUse(report engineReport) []catalogue.Ref {
-	if report.InUse == nil && report.Running > d.table.Report(d.adoptedAt).Running {
-		return d.table.Report(d.adoptedAt).Resident
+func (l *slotLoop) inUse(report engineReport) []catalogue.Ref {
+	if report.InUse == nil && report.Running > l.table.Report(l.adoptedAt).Running {
+		return l.table.Report(l.adoptedAt).Resident
 	}
 	refs := make([]catalogue.Ref, 0, len(report.InUse))
 	for _, name := range report.InUse {
--- a/internal/agent/stalls.go
+++ b/internal/agent/stalls.go
@@ -7,7 +7,7 @@
 
 // stallMeter averages the load stalls of recent requests: the share of requests
 // that waited for their adapter, and their mean wait. It is owned by the slot
-// duty.
+// loop.
 type stallMeter struct {
 	// share is the fraction of recent requests that stalled.
 	share float64
