--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -147,7 +147,7 @@
 	return c.machine.Contract(id)
 }
 
-// read calls f with the state, which f must neither keep nor change.
+// read calls f with the state. f must not modify or retain the state.
 func (c *Control) read(f func(*state.Machine)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/control/daemons.go
+++ b/internal/control/daemons.go
@@ -23,7 +23,7 @@
 }
 
 // forgetAfter is how long a lost daemon stays listed for operators, as a multiple
-// of its lease.
+// of lostAfter.
 const forgetAfter = 12
 
 // lostMargin is the time that a poll may spend in transit.
@@ -66,8 +66,8 @@
 	return longest
 }
 
-// list returns the daemons sorted by name and removes those that have been lost
-// for long.
+// list returns the daemons sorted by name and removes those that have made no call
+// for forgetAfter times lostAfter.
 func (t *daemonTable) list(now time.Time) []wire.Daemon {
 	all := make([]wire.Daemon, 0, len(t.records))
 	for name, record := range t.records {
--- a/internal/control/feed.go
+++ b/internal/control/feed.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// Bounds on what a daemon reports about itself, which is kept in memory for every
-// daemon.
+// Bounds on a daemon's report about itself. The reports of all daemons are held in
+// memory.
 const (
 	maxDaemonName = 256
 	maxReason     = 256
@@ -113,7 +113,7 @@
 }
 
 // pollState holds whether a reply contains changes and, if it does not, the channels
-// whose closing ends the wait.
+// that are closed to end the wait.
 type pollState struct {
 	changed           bool
 	config, directory <-chan struct{}
@@ -142,8 +142,8 @@
 }
 
 // addConfig adds either changes from the tail or a page of a snapshot, whichever
-// needs fewer bytes to bring the daemon up to date. A daemon that is ahead of this
-// instance gets nothing.
+// needs fewer bytes to bring the daemon up to date. It adds nothing for a daemon that
+// is ahead of this instance.
 func (c *Control) addConfig(reply *wire.WatchReply, in wire.Watch) error {
 	switch {
 	case in.ConfigIndex >= c.publication.visible:
--- a/internal/control/feed_test.go
+++ b/internal/control/feed_test.go
@@ -38,7 +38,7 @@
 	log     *sharedLog
 	control *control.Control
 	applied atomic.Uint64
-	// isolated is true while the instance is isolated off from the other instances.
+	// isolated is true while the instance is partitioned from the other instances.
 	isolated atomic.Bool
 	// stop simulates the end of the instance's process: connections to it are
 	// refused.
@@ -81,8 +81,8 @@
 	peers   []string
 }
 
-// newCluster starts control instances. The counter, if there is one, counts the bytes
-// of their connections.
+// newCluster starts control instances. A counter, if given, counts the bytes
+// transferred over their connections.
 func newCluster(t testing.TB, instances int, options control.Options, counters ...*atomic.Int64) *cluster {
 	c := &cluster{t: t}
 	shared := &sharedLog{}
@@ -162,14 +162,14 @@
 
 var putModel = state.Command{PutModel: &catalogue.Model{Name: "base"}}
 
-// eventually polls a condition until it is true. Time only affects how long a failure
-// takes.
-func eventually(t testing.TB, what string, condition func() bool) {
+// eventually polls a condition until it is true. Its time limit is reached only if the
+// test fails.
+func eventually(t testing.TB, description string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(15 * time.Second)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatal("timed out waiting for " + what)
+			t.Fatal("timed out waiting for " + description)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -211,7 +211,7 @@
 	config.Apply(old, late.Snapshot.Index)
 	got, _ := config.Contract("cascade")
 	if config.Index() != second.Index || got.Limits.RequestsPerSecond != 2 {
-		t.Errorf("index %d, contract %+v", config.Index(), got)
+		t.Errorf("got index %d and contract %+v, want those of the second change", config.Index(), got)
 	}
 }
 
@@ -281,8 +281,9 @@
 	}
 }
 
-// A control instance that is cut off from the other instances only still answers its
-// daemons. An entry that stayed with it would continue under outdated contracts.
+// A control instance that is partitioned from the other control instances still
+// answers its daemons. An entry that stayed with it would continue under outdated
+// contracts.
 func TestDaemonLeavesIsolatedInstance(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3, control.Options{})
@@ -318,7 +319,7 @@
 	c.members[1].isolated.Store(true)
 	eventually(t, "the copy to be no longer fresh", func() bool { return f.Freshness().Kind != freshness.Fresh })
 	if got := f.Config().Index(); got != first.Index {
-		t.Errorf("index %d", got)
+		t.Errorf("got index %d, want the index of the first contract", got)
 	}
 	c.members[1].isolated.Store(false)
 	eventually(t, "a fresh copy again", func() bool { return f.Freshness().Kind == freshness.Fresh })
@@ -346,10 +347,10 @@
 	}
 	eventually(t, "the stop to be noticed", func() bool { return f.Freshness().Kind != freshness.Fresh })
 	if got := f.Freshness(); got.Kind != freshness.Unchangeable || !got.MayAdmit() {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want an unchangeable configuration that admits", got)
 	}
 	if _, found := f.Config().Contract("cascade"); !found || len(f.Servers()) != 1 {
-		t.Errorf("contract kept: %t, servers %v", found, f.Servers())
+		t.Errorf("contract present: %t, servers %v; want the contract and one server", found, f.Servers())
 	}
 }
 
--- a/internal/control/limits.go
+++ b/internal/control/limits.go
@@ -29,7 +29,7 @@
 	limits, err := quotas.Limits(r.Context(), id)
 	switch {
 	case err != nil:
-		// On this status the operators' client asks the next instance.
+		// On this status the operators' client calls the next instance.
 		writeError(w, http.StatusServiceUnavailable, err.Error())
 	case id != "" && len(limits.Contracts) == 0:
 		writeError(w, http.StatusNotFound, "no such contract, or it is retired")
--- a/internal/control/operator_test.go
+++ b/internal/control/operator_test.go
@@ -28,8 +28,9 @@
 	DaemonLease:       400 * time.Millisecond,
 }
 
-// serveOperators returns the operators' URL of each instance. An instance whose
-// flag in lost is set executes requests and then aborts the connection without an answer.
+// serveOperators returns the operators' URL of each instance. If the flag of an
+// instance in lost is set, the instance executes requests and then aborts the
+// connection without an answer.
 func (c *cluster) serveOperators(lost ...*atomic.Bool) []string {
 	var urls []string
 	for i, m := range c.members {
@@ -76,7 +77,7 @@
 	}
 	operators.Wait()
 	if wins.Load() != 1 || conflicts.Load() != 7 {
-		t.Errorf("%d wins, %d conflicts", wins.Load(), conflicts.Load())
+		t.Errorf("got %d wins and %d conflicts, want 1 and 7", wins.Load(), conflicts.Load())
 	}
 }
 
@@ -181,7 +182,7 @@
 		}
 	}
 	if refused != 2 || len(c.members[0].control.Servers()) != 3 {
-		t.Errorf("%d refused, %d listed", refused, len(c.members[0].control.Servers()))
+		t.Errorf("got %d refused and %d listed, want 2 and 3", refused, len(c.members[0].control.Servers()))
 	}
 }
 
--- a/internal/control/publish.go
+++ b/internal/control/publish.go
@@ -96,7 +96,7 @@
 }
 
 // limitChanges returns the first visible changes that fit into one message. The first
-// one is included whatever its size.
+// one is included regardless of its size.
 func (c *Control) limitChanges(changes []tailChange) []tailChange {
 	bytes := 0
 	for i, change := range changes {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -53,7 +53,7 @@
 	unreachable []string
 }
 
-// queryPeers asks every control instance for its standing and its daemons.
+// queryPeers queries the standing and the daemons of every control instance.
 func (c *Control) queryPeers(ctx context.Context) clusterView {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -110,8 +110,9 @@
 	return all
 }
 
-// getInForce answers once the change at an index is in force at every living daemon.
-// When the wait expires before that, it answers with the daemons still without it.
+// getInForce answers once the change at an index is in force at every daemon that is
+// not lost. When the wait expires before that, it answers with the daemons at which
+// the change is not in force yet.
 func (c *Control) getInForce(w http.ResponseWriter, r *http.Request) {
 	index, err := strconv.ParseUint(chi.URLParam(r, "index"), 10, 64)
 	if err != nil {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -27,7 +27,8 @@
 	retryInterval = 50 * time.Millisecond
 )
 
-// Client sends commands to whichever control instance answers.
+// Client sends commands to one control instance at a time and moves on to the next one
+// when a call fails.
 type Client struct {
 	peers []*rpc.Client
 	// current selects, modulo the number of peers, the peer to call. It advances
@@ -71,7 +72,7 @@
 
 // call sends a command until a control instance answers or ctx ends. If an answer is
 // lost, the command is sent again, which is safe because every command identifies its
-// attempt, crash or trial, and a further fencing number does no harm.
+// attempt, crash or trial, and an additional fencing number is harmless.
 func (c *Client) call(ctx context.Context, method string, in, out any) error {
 	for {
 		at := c.current.Load()
--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -40,7 +40,7 @@
 			return
 		}
 		if mayFound {
-			r.found(members)
+			r.foundLog(members)
 			return
 		}
 		_ = wait.For(ctx, helloInterval)
@@ -54,7 +54,7 @@
 		return
 	}
 	if members, found := r.options.ChooseFounders(ctx, r.self); found {
-		r.found(members)
+		r.foundLog(members)
 	}
 }
 
@@ -101,9 +101,9 @@
 	return wire.Hello{ID: r.self.ID, Address: r.self.Address, Cluster: r.Status().Config.Cluster, Bootstrap: r.options.Bootstrap}
 }
 
-// found founds the log: it persists the initial configuration and restores the node
+// foundLog founds the log: it persists the initial configuration and restores the node
 // from it.
-func (r *Replica) found(members []replog.Member) {
+func (r *Replica) foundLog(members []replog.Member) {
 	config := replog.Config{Cluster: uuid.NewString(), Voters: members}
 	snapshot := replog.InitialSnapshot(config, nil)
 	hardState := replog.HardState{Term: snapshot.Term}
--- a/internal/replica/core.go
+++ b/internal/replica/core.go
@@ -281,8 +281,9 @@
 }
 
 // stepOut stops voting, acknowledging and leading after the disk or the state
-// machine has failed: anything that this member promised from then on might not
-// hold after a restart. The other members detect it by the missing heartbeats.
+// machine has failed: a vote or acknowledgement given from then on might not
+// hold after a restart. The other members detect the failure by the missing
+// heartbeats.
 func (c *core) stepOut(ctx context.Context, cause error) {
 	reason := cause.Error()
 	c.failure.Store(&reason)
--- a/internal/replica/core_test.go
+++ b/internal/replica/core_test.go
@@ -33,8 +33,9 @@
 	}
 }
 
-// A peer that was unresponsive receives its whole backlog. Sent in a single call, several megabytes of encoding would
-// remain in the leader's memory permanently. Each call must be bounded, and every message sent once and in order.
+// A peer that was unresponsive receives its complete backlog. If it were sent in a single call, the leader would
+// permanently retain several megabytes of encoding buffers. Each call must be bounded, and every message must be sent
+// once and in order.
 func TestBacklogIsSentInBoundedCalls(t *testing.T) {
 	const messages, size = 40, 100 << 10
 	queue := make(chan replog.Message, messages)
@@ -54,6 +55,6 @@
 		}
 	}
 	if len(sent) != messages || !slices.IsSorted(sent) {
-		t.Errorf("message indexes sent: %v", sent)
+		t.Errorf("got message indexes %v, want each once and in order", sent)
 	}
 }
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -183,7 +183,7 @@
 
 // Members returns the leader's view of the membership, or this instance's own view
 // while no leader can be reached. An instance that belongs to no log, or has
-// stepped out, knows no leader and therefore asks all other instances.
+// stepped out, knows no leader and therefore queries all other instances.
 func (r *Replica) Members(ctx context.Context) wire.MemberList {
 	status := r.Status()
 	own := r.ownMembers(status)
@@ -191,7 +191,7 @@
 		return own
 	}
 	if address, err := r.leaderAddress(status); err == nil {
-		if list, ok := r.askMembers(ctx, address); ok {
+		if list, ok := r.fetchMembers(ctx, address); ok {
 			return list
 		}
 	}
@@ -199,7 +199,7 @@
 		if address == r.options.Address {
 			continue
 		}
-		if list, ok := r.askMembers(ctx, address); ok {
+		if list, ok := r.fetchMembers(ctx, address); ok {
 			list.Failure = own.Failure
 			return list
 		}
@@ -207,9 +207,9 @@
 	return own
 }
 
-// askMembers returns the member list of the instance at an address, and reports
+// fetchMembers returns the member list of the instance at an address, and reports
 // whether the list names a leader.
-func (r *Replica) askMembers(ctx context.Context, address string) (wire.MemberList, bool) {
+func (r *Replica) fetchMembers(ctx context.Context, address string) (wire.MemberList, bool) {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
 	var list wire.MemberList
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -144,12 +144,12 @@
 
 // submit passes a request to the core. It returns ErrBusy if the request queue is
 // full.
-func (r *Replica) submit(request request) error {
+func (r *Replica) submit(q request) error {
 	if r.Failure() != "" {
 		return errSteppedOut
 	}
 	select {
-	case r.requests <- request:
+	case r.requests <- q:
 		return nil
 	default:
 		return ErrBusy
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -29,26 +29,26 @@
 	commands []string
 }
 
-func (j *commandLog) Apply(_ uint64, data []byte) []byte {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.commands = append(j.commands, string(data))
-	return fmt.Append(nil, len(j.commands))
+func (l *commandLog) Apply(_ uint64, data []byte) []byte {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.commands = append(l.commands, string(data))
+	return fmt.Append(nil, len(l.commands))
 }
 
-func (j *commandLog) Snapshot() ([]byte, error) { return []byte(j.text()), nil }
+func (l *commandLog) Snapshot() ([]byte, error) { return []byte(l.text()), nil }
 
-func (j *commandLog) Restore(data []byte) error {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.commands = strings.Split(string(data), "\n")
+func (l *commandLog) Restore(data []byte) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.commands = strings.Split(string(data), "\n")
 	return nil
 }
 
-func (j *commandLog) text() string {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return strings.Join(j.commands, "\n")
+func (l *commandLog) text() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return strings.Join(l.commands, "\n")
 }
 
 // failingFS is the operating system's file system until diskFull is set; writes
@@ -67,11 +67,11 @@
 
 type failingFile struct {
 	wal.File
-	broken *atomic.Bool
+	diskFull *atomic.Bool
 }
 
 func (f failingFile) Write(data []byte) (int, error) {
-	if f.broken.Load() {
+	if f.diskFull.Load() {
 		return 0, unix.ENOSPC
 	}
 	return f.File.Write(data)
@@ -149,12 +149,12 @@
 	c.instances[i] = inst
 }
 
-func (c *cluster) waitFor(what string, condition func() bool) {
+func (c *cluster) waitFor(description string, condition func() bool) {
 	c.t.Helper()
 	deadline := time.Now().Add(30 * time.Second)
 	for !condition() {
 		if time.Now().After(deadline) {
-			c.t.Fatalf("timed out waiting for %s", what)
+			c.t.Fatalf("timed out waiting for %s", description)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -92,8 +92,8 @@
 	if len(a.data) < part.Total {
 		return nil, nil
 	}
-	whole := *m.Snapshot
-	whole.Data, a.data = a.data, nil
-	m.Snapshot = &whole
+	complete := *m.Snapshot
+	complete.Data, a.data = a.data, nil
+	m.Snapshot = &complete
 	return &m, nil
 }
--- a/internal/wal/memfs_test.go
+++ b/internal/wal/memfs_test.go
@@ -57,8 +57,8 @@
 		if bytes.HasPrefix(file.data, file.synced) {
 			data = slices.Clone(file.data[:min(len(file.data), len(file.synced)+extra)])
 		}
-		kept := &memFile{data: data, synced: slices.Clone(data)}
-		crashed.files[name], crashed.durable[name] = kept, kept
+		recovered := &memFile{data: data, synced: slices.Clone(data)}
+		crashed.files[name], crashed.durable[name] = recovered, recovered
 	}
 	return crashed
 }
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -161,11 +161,11 @@
 		t.Fatal(err)
 	}
 	want := have.with(b).compacted(next)
-	again, err := openMem(fs.crash(0))
+	reopened, err := openMem(fs.crash(0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := restoredState(again.Restored()); !equal(got, want) {
+	if got := restoredState(reopened.Restored()); !equal(got, want) {
 		t.Fatalf("after append and compaction: got %+v, want %+v", got, want)
 	}
 }
@@ -180,14 +180,14 @@
 	}
 	fs.failAt, fs.failure = fs.operations+1, errNoSpace
 	if err := l.Append(Batch{Entries: entries(1, 1, 1)}); !errors.Is(err, errNoSpace) {
-		t.Errorf("full disk: %v", err)
+		t.Errorf("append on a full disk: got %v, want ENOSPC", err)
 	}
 	fs.failAt = 0
 	if err := l.Append(Batch{Entries: entries(1, 1, 1)}); !errors.Is(err, ErrFailed) {
-		t.Errorf("after a full disk: %v", err)
+		t.Errorf("append after a full disk: got %v, want ErrFailed", err)
 	}
 	if err := l.Compact(snapshotAt(1, 1)); !errors.Is(err, ErrFailed) {
-		t.Errorf("compaction after a full disk: %v", err)
+		t.Errorf("compaction after a full disk: got %v, want ErrFailed", err)
 	}
 }
 
@@ -283,7 +283,7 @@
 			_, err := openMem(damaged)
 			var corrupt *CorruptError
 			if !errors.As(err, &corrupt) {
-				t.Fatalf("bit %d of byte %d: %v", bit, at, err)
+				t.Fatalf("bit %d of byte %d: got %v, want a CorruptError", bit, at, err)
 			}
 			if corrupt.File != path || corrupt.Offset > int64(at) {
 				t.Fatalf("bit %d of byte %d is reported as %v", bit, at, corrupt)
@@ -330,7 +330,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(options, "control-a"); !errors.Is(err, ErrLocked) {
-		t.Errorf("a second process: %v", err)
+		t.Errorf("second process: got %v, want ErrLocked", err)
 	}
 	if err := first.Close(); err != nil {
 		t.Fatal(err)
@@ -338,12 +338,12 @@
 	if _, err := Open(options, "control-b"); err == nil {
 		t.Error("another instance opened the folder")
 	}
-	again, err := Open(options, "control-a")
+	reopened, err := Open(options, "control-a")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer again.Close()
-	if again.Identity() != first.Identity() {
+	defer reopened.Close()
+	if reopened.Identity() != first.Identity() {
 		t.Error("the identity changed with a restart")
 	}
 }
--- a/internal/wire/replica.go
+++ b/internal/wire/replica.go
@@ -14,9 +14,9 @@
 	MethodReplicaPropose = "replica.propose"
 	// MethodReplicaRead asks the leader for a read index.
 	MethodReplicaRead = "replica.readIndex"
-	// MethodReplicaMembers asks the leader for the MemberList.
+	// MethodReplicaMembers returns an instance's MemberList.
 	MethodReplicaMembers = "replica.members"
-	// MethodReplicaChange asks the leader for a MemberChange.
+	// MethodReplicaChange asks the leader to make a MemberChange.
 	MethodReplicaChange = "replica.change"
 )
 
@@ -160,7 +160,7 @@
 	// Survivable is the number of further voters whose loss can be tolerated now,
 	// counting only voters that answer and have synced all committed entries.
 	Survivable int `json:"survivable"`
-	// Failure is the reason why the answering instance has stopped taking part in
-	// the log, or empty if it has not.
+	// Failure is the reason why the answering instance has stepped out of the log,
+	// or empty if it has not.
 	Failure string `json:"failure,omitempty"`
 }
--- a/internal/wire/starts.go
+++ b/internal/wire/starts.go
@@ -3,8 +3,8 @@
 // Methods that entries call on the agent of an engine whose requests bypass the
 // agent.
 const (
-	// MethodStartAdmit requests the start of a request and returns when the request
-	// may start or is refused.
+	// MethodStartAdmit requests permission to start a request and returns when the
+	// permission is granted or refused.
 	MethodStartAdmit = "start.admit"
 	// MethodStartFirstEvent reports that a request has produced its first event.
 	MethodStartFirstEvent = "start.begun"
@@ -14,7 +14,7 @@
 	MethodStartWatch = "start.watch"
 )
 
-// StartRequest asks for permission to start a request.
+// StartRequest requests permission to start a request.
 type StartRequest struct {
 	ID string `json:"id"`
 	// Attempt numbers the attempts to start this request. A new attempt also ends
@@ -66,10 +66,11 @@
 	AllowedMillis int64 `json:"allowedMillis,omitempty"`
 }
 
-// StartWatch asks for a state newer than Change.
+// StartWatch requests the EngineState once it is newer than Change.
 type StartWatch struct {
 	Change uint64 `json:"change"`
-	// HeldChange is the HeldChange of the adapters that the caller knows.
+	// HeldChange is the EngineState.HeldChange of the adapters that the caller
+	// already has.
 	HeldChange uint64 `json:"heldChange"`
 	WaitMillis int64  `json:"waitMillis"`
 }
@@ -91,7 +92,7 @@
 	// DelayMillis is the current waiting time of a start by rank, without the time
 	// to load its adapter. The last value applies to all higher ranks.
 	DelayMillis []int64 `json:"delayMillis"`
-	// PromptMillis is the time that 1,000 prompt tokens add to that.
+	// PromptMillis is the time that 1,000 prompt tokens add to DelayMillis.
 	PromptMillis int64 `json:"promptMillis"`
 	// LoadMillis is how long loading an adapter requested now would take,
 	// including the loads queued before it.
