--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -121,7 +121,7 @@
 	t.Helper()
 	got := complete(t.Context(), url, model, "2")
 	if got.status != http.StatusOK || got.model != model || !strings.Contains(got.body, engine.TokenText(model, got.id, 1)) {
-		t.Fatalf("%s: %+v", model, got)
+		t.Fatalf("request for %s: got %+v, want an answer of that model", model, got)
 	}
 }
 
@@ -135,7 +135,7 @@
 			eventually(t, "answer from "+model, func() bool {
 				got := complete(t.Context(), url, model, "2")
 				if strings.Contains(got.body, "load_failed") || got.status != http.StatusOK && got.outcome != outcome.NotRun.String() {
-					t.Fatalf("%s: %+v", model, got)
+					t.Fatalf("request for %s: got %+v, want an answer or not-run", model, got)
 				}
 				return got.status == http.StatusOK && got.model == model
 			})
@@ -213,7 +213,7 @@
 	eventually(t, "agent answers", func() bool { return complete(t.Context(), url, "a@1", "2").status == http.StatusOK })
 	got := complete(t.Context(), url, "slow@1", "2")
 	if got.status != http.StatusServiceUnavailable || got.outcome != outcome.NotRun.String() {
-		t.Fatalf("request for a load that timed out: got %+v", got)
+		t.Fatalf("request for a load that timed out: got %+v, want 503 and not-run", got)
 	}
 	eventually(t, "late load occupies the slot", func() bool { return slices.Contains(b.engine.Loaded(), "slow@1") })
 	eventually(t, "request for another adapter is answered", func() bool {
--- a/internal/agent/answers_test.go
+++ b/internal/agent/answers_test.go
@@ -126,7 +126,7 @@
 	_ = conn.(*net.TCPConn).CloseWrite()
 	got, err := io.ReadAll(conn)
 	if len(got) != 0 {
-		t.Errorf("the agent answered %q, %v", got, err)
+		t.Errorf("the agent answered %q, %v; want nothing", got, err)
 	}
 }
 
--- a/internal/agent/broker_test.go
+++ b/internal/agent/broker_test.go
@@ -77,7 +77,7 @@
 				callers.Go(func() {
 					model := fmt.Sprintf("a%d@1", first+10*i+adapter)
 					if got := complete(t.Context(), url, model, "2"); got.status != http.StatusOK || got.model != model {
-						t.Errorf("%s: %+v", model, got)
+						t.Errorf("request for %s: got %+v, want an answer of that model", model, got)
 					}
 				})
 			}
--- a/internal/agent/seats_test.go
+++ b/internal/agent/seats_test.go
@@ -55,7 +55,7 @@
 			served[<-results]++
 		}
 		if served["one"] < 45 || served["one"] > 55 || served["two"] < 95 || served["two"] > 105 || served["four"] < 195 || served["four"] > 205 {
-			t.Errorf("served %v of 350, shares 1:2:4", served)
+			t.Errorf("served %v of 350, want shares 1:2:4", served)
 		}
 		// Let the remaining requests run, so that every goroutine ends.
 		for range 3600 - 350 {
@@ -102,7 +102,7 @@
 	header := make(http.Header)
 	now := time.Now()
 	if item := queueItem(header, 1, now); item.Share != 1 || item.Cost != defaultCost || !item.Deadline.Equal(now.Add(defaultMaxWait)) {
-		t.Errorf("without headers: %+v", item)
+		t.Errorf("without headers: got %+v, want the defaults", item)
 	}
 	header.Set(wire.HeaderContract, "dabke")
 	header.Set(wire.HeaderShare, "4")
--- a/internal/agent/wanted.go
+++ b/internal/agent/wanted.go
@@ -12,9 +12,9 @@
 
 var wantedChangeCount = telemetry.Counter("agent_wanted_changes")
 
-// followWanted closes and opens the gate according to the state that operators
-// want, before the change is confirmed to control. If control is unreachable,
-// the last known state stays in effect.
+// followWanted refuses or accepts new requests according to the state that operators
+// want, before the change is confirmed to control. If control is unreachable, the
+// last known state stays in effect.
 func (a *Agent) followWanted(ctx context.Context) {
 	follow.New(follow.Options{
 		Daemon:   "agent:" + a.options.Server,
--- a/internal/control/advice_test.go
+++ b/internal/control/advice_test.go
@@ -25,6 +25,6 @@
 		t.Fatal(err)
 	}
 	if len(advice) != 1 || advice[0].Servers != 4 || advice[0].Needed != 1 || len(advice[0].Stoppable) != 2 {
-		t.Errorf("got advice %+v", advice)
+		t.Errorf("got advice %+v, want one pool of 4 servers with 1 needed and 2 stoppable", advice)
 	}
 }
--- a/internal/control/loadbroker_test.go
+++ b/internal/control/loadbroker_test.go
@@ -46,7 +46,7 @@
 		start := time.Now()
 		got := mustSync(t, l, loads("b", 1, time.Second, wantReport(7)))
 		if len(got.Granted) != 1 || got.Granted[0] != 7 || time.Since(start) != 200*time.Millisecond {
-			t.Errorf("got %v after %s", got, time.Since(start))
+			t.Errorf("got %v after %s, want order 7 after 200ms", got, time.Since(start))
 		}
 	})
 }
@@ -66,7 +66,7 @@
 		time.Sleep(100 * time.Millisecond)
 		mustSync(t, l, loads("b", 2, 0, broker.Report{}))
 		if after := <-ended; after != 100*time.Millisecond {
-			t.Errorf("the older report ended after %s", after)
+			t.Errorf("the older report ended after %s, want 100ms", after)
 		}
 		mustSync(t, l, loads("b", 1, 0, wantReport(1)))
 		if l.broker.Queued() != 0 {
--- a/internal/control/operator_test.go
+++ b/internal/control/operator_test.go
@@ -93,7 +93,7 @@
 	client := operator.NewClient(operator.Options{URLs: urls, Key: operatorKey, Operation: "op-7"})
 	result, err := client.PutContract(context.Background(), contractRevision(first.Index, 2))
 	if err != nil || result.Index != first.Index+1 {
-		t.Fatalf("%+v, %v", result, err)
+		t.Fatalf("change whose answer was lost: got %+v, %v; want the next index", result, err)
 	}
 	// Resend by hand at the first instance, after another change.
 	lost.Store(false)
@@ -120,11 +120,11 @@
 	client := operator.NewClient(operator.Options{URLs: urls, Key: operatorKey})
 	read, err := client.Contract(context.Background(), "cascade")
 	if err != nil || !client.Unconfirmed() {
-		t.Errorf("%+v, %v, unconfirmed %t", read, err, client.Unconfirmed())
+		t.Errorf("read from the isolated instance: got %+v, %v, unconfirmed %t; want an unconfirmed contract", read, err, client.Unconfirmed())
 	}
 	result, err := client.PutContract(context.Background(), contractRevision(first.Index, 2))
 	if err != nil || result.Index != first.Index+1 {
-		t.Errorf("%+v, %v", result, err)
+		t.Errorf("change with an isolated instance: got %+v, %v; want the next index", result, err)
 	}
 	isolatedOnly := operator.NewClient(operator.Options{URLs: urls[:1], Key: operatorKey, Rounds: 1})
 	if _, err := isolatedOnly.PutContract(context.Background(), contractRevision(first.Index, 4)); !errors.Is(err, operator.ErrUnknown) {
@@ -148,12 +148,12 @@
 
 	report, err := client.InForce(context.Background(), second.Index, 500*time.Millisecond)
 	if err != nil || report.Done || len(report.Waiting) != 1 || report.Waiting[0].Name != "entry-hanging" {
-		t.Errorf("%+v, %v", report, err)
+		t.Errorf("got report %+v, %v; want entry-hanging waiting", report, err)
 	}
 	watch(t, c.members[0].control, wire.Watch{Daemon: "entry-hanging", ConfigIndex: second.Index})
 	report, err = client.InForce(context.Background(), second.Index, 10*time.Second)
 	if err != nil || !report.Done {
-		t.Errorf("%+v, %v", report, err)
+		t.Errorf("got report %+v, %v; want it done", report, err)
 	}
 }
 
@@ -165,7 +165,7 @@
 	watch(t, c.members[0].control, wire.Watch{Daemon: "entry-gone", Freshness: freshness.State{Kind: freshness.Fresh}})
 	report, err := client.InForce(context.Background(), first.Index, 10*time.Second)
 	if err != nil || !report.Done || len(report.Expired) != 1 || report.Expired[0].Name != "entry-gone" {
-		t.Errorf("%+v, %v", report, err)
+		t.Errorf("got report %+v, %v; want it done with entry-gone expired", report, err)
 	}
 }
 
--- a/internal/control/write_json_test.go
+++ b/internal/control/write_json_test.go
@@ -13,6 +13,6 @@
 	recorder := httptest.NewRecorder()
 	writeJSON(recorder, http.StatusOK, map[string]float64{"busy": math.NaN()})
 	if recorder.Code != http.StatusInternalServerError || recorder.Body.Len() == 0 {
-		t.Errorf("answered %d %q", recorder.Code, recorder.Body)
+		t.Errorf("got status %d and body %q, want 500 and a message", recorder.Code, recorder.Body)
 	}
 }
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -104,7 +104,7 @@
 	in.addCleanup(func() { permit.Settle(in.meter.usage()) })
 	setContractHeaders(r.Header, request)
 	result := run()
-	// An answer that is cut may have run and is charged as if it had.
+	// A request with a cut answer may have run and is charged as if it had.
 	in.meter.notRun = result.outcome == outcome.NotRun
 	return result
 }
--- a/internal/entry/cut_test.go
+++ b/internal/entry/cut_test.go
@@ -198,7 +198,7 @@
 		_ = response.Body.Close()
 		reported, _ := outcome.Parse(response.Header.Get(outcome.Header))
 		if response.StatusCode != http.StatusGatewayTimeout || reported != outcome.Unknown || response.Header.Get("Retry-After") != retryAfter {
-			t.Errorf("%s: status %d, outcome %v, Retry-After %q", path, response.StatusCode, reported, response.Header.Get("Retry-After"))
+			t.Errorf("%s: status %d, outcome %v, Retry-After %q; want 504, unknown, and Retry-After only if idempotent", path, response.StatusCode, reported, response.Header.Get("Retry-After"))
 		}
 	}
 }
--- a/internal/entry/decline_test.go
+++ b/internal/entry/decline_test.go
@@ -63,7 +63,7 @@
 			for range 5 {
 				got := call(t, server, http.MethodPost, "/v1/completions", "", `{"model":"`+model+`","prompt":"x"}`)
 				if got.outcome != outcome.Answered || got.body != "whole" {
-					t.Fatalf("outcome %v: %s", got.outcome, got.body)
+					t.Fatalf("got outcome %v and body %s, want a complete answer", got.outcome, got.body)
 				}
 			}
 			runs, maxDeclined := int64(0), int64(0)
@@ -72,7 +72,7 @@
 				maxDeclined = max(maxDeclined, a.declined.Load())
 			}
 			if runs != 5 || maxDeclined > 5 {
-				t.Errorf("%d runs of 5 calls; one server declined %d times", runs, maxDeclined)
+				t.Errorf("got %d runs and up to %d declines by one server, want 5 runs and at most 5 declines", runs, maxDeclined)
 			}
 		})
 	}
--- a/internal/entry/framing_test.go
+++ b/internal/entry/framing_test.go
@@ -139,7 +139,7 @@
 		server := newServiceEntry(t, entry.Options{}, rawServer(t, head(200, eventStreamType, chunkedEncoding)+chunk("data: one\n\n")+chunk(broken)))
 		got := rawCall(t, server, "1.1", http.MethodPost, "/services/desk/again", "", "x")
 		if !got.cut || !strings.HasPrefix(got.body, "data: one\n\n") || strings.Contains(got.body, "ha") {
-			t.Errorf("after %q: cut %v, body %q", broken, got.cut, got.body)
+			t.Errorf("after %q: cut %v, body %q; want a cut after the complete event", broken, got.cut, got.body)
 		}
 		if !strings.Contains(got.body, `"code":"unknown_outcome"`) {
 			t.Errorf("after %q the stream has no error event: %q", broken, got.body)
@@ -168,7 +168,7 @@
 func TestNoErrorEventInEncodedStream(t *testing.T) {
 	server := newServiceEntry(t, entry.Options{}, rawServer(t, head(200, eventStreamType, "Content-Encoding: gzip", chunkedEncoding)+chunk("encoded")))
 	if got := rawCall(t, server, "1.1", http.MethodPost, "/services/desk/again", "", "x"); !got.cut || got.body != "encoded" {
-		t.Errorf("cut %v, body %q", got.cut, got.body)
+		t.Errorf("cut %v, body %q; want a cut after \"encoded\"", got.cut, got.body)
 	}
 }
 
@@ -181,12 +181,12 @@
 	server := newServiceEntry(t, entry.Options{Claims: newClaimLog()}, rawServer(t, broken, broken))
 	got := rawCall(t, server, "1.1", http.MethodPost, "/services/desk/once", "", "x")
 	if !got.cut || strings.Contains(got.body, "ha") {
-		t.Errorf("cut %v, body %q", got.cut, got.body)
+		t.Errorf("cut %v, body %q; want a cut without the incomplete event", got.cut, got.body)
 	}
 	for range 2 {
 		got := rawCall(t, server, "1.1", http.MethodPost, "/services/desk/once", "k", "x")
 		if got.outcome != outcome.Unknown {
-			t.Errorf("with a key: outcome %v, status %d, body %q", got.outcome, got.status, got.body)
+			t.Errorf("with a key: outcome %v, status %d, body %q; want unknown", got.outcome, got.status, got.body)
 		}
 	}
 }
@@ -253,7 +253,7 @@
 	w := &recordingWriter{ResponseRecorder: httptest.NewRecorder()}
 	e.Handler().ServeHTTP(w, request)
 	if last := len(w.calls) - 1; last < 2 || w.calls[last] != "deadline" || w.calls[last-1] != "write" || w.calls[last-2] != "deadline" {
-		t.Errorf("calls on the caller's connection: %v", w.calls)
+		t.Errorf("calls on the caller's connection: got %v, want a deadline, a write and a deadline at the end", w.calls)
 	}
 }
 
@@ -276,7 +276,7 @@
 		_, server := newEntry(t, entry.Options{}, newSource(engineServer("floor-1", rawServer(t, first, rest))))
 		got := rawCall(t, server, "1.1", http.MethodPost, "/v1/completions", "", completion("x", 2, true))
 		if !got.cut || strings.Contains(got.body, "failed") {
-			t.Errorf("different %s: cut %v, body %q", name, got.cut, got.body)
+			t.Errorf("different %s: cut %v, body %q; want a cut without the other answer", name, got.cut, got.body)
 		}
 	}
 }
@@ -315,7 +315,7 @@
 			t.Errorf("%s: status %d, outcome %q, request ID %q", path, got.status, reported, got.header.Get(wire.HeaderRequestID))
 		}
 		if allow := got.header.Get("Allow"); want == http.StatusMethodNotAllowed && allow != http.MethodPost {
-			t.Errorf("%s: Allow is %q", path, allow)
+			t.Errorf("%s: got Allow %q, want POST", path, allow)
 		}
 	}
 }
@@ -356,7 +356,7 @@
 	_, server := newEntry(t, entry.Options{}, newSource(engineServer("floor-1", rawServer(t, first, rest))))
 	got := rawCall(t, server, "1.1", http.MethodPost, "/v1/completions", "", completion("x", 2, false))
 	if !got.cut || got.body != "failed " {
-		t.Errorf("cut %v, body %q", got.cut, got.body)
+		t.Errorf("cut %v, body %q; want a cut after \"failed \"", got.cut, got.body)
 	}
 }
 
@@ -395,7 +395,7 @@
 	server := newServiceEntry(t, entry.Options{}, listener.Addr().String())
 	for _, body := range []string{"one", "two", "three"} {
 		if got := rawCall(t, server, "1.1", http.MethodPost, "/services/desk/again", "", body); got.body != body {
-			t.Errorf("call %q got the answer %q", body, got.body)
+			t.Errorf("call %q got the answer %q, want the same text", body, got.body)
 		}
 	}
 }
@@ -437,7 +437,7 @@
 	_, server := newEntry(t, entry.Options{}, newSource(engineServer("floor-1", rawServer(t, answers...))))
 	got := rawCall(t, server, "1.1", http.MethodPost, "/v1/completions", "", completion("x", 2, true))
 	if !got.cut || strings.Contains(got.body, "two") {
-		t.Errorf("cut %v, body %q", got.cut, got.body)
+		t.Errorf("cut %v, body %q; want a cut after the first event", got.cut, got.body)
 	}
 }
 
--- a/internal/entry/leave_test.go
+++ b/internal/entry/leave_test.go
@@ -26,16 +26,16 @@
 		return call(t, server, http.MethodPost, "/v1/completions", "", completion("x", 2, false))
 	}
 	if got := send(); got.outcome != outcome.Answered || len(leaving.Started()) != 1 {
-		t.Fatalf("before the server leaves: outcome %v, it ran %d requests", got.outcome, len(leaving.Started()))
+		t.Fatalf("before the server leaves: outcome %v, it ran %d requests; want answered, 1", got.outcome, len(leaving.Started()))
 	}
 	a.Leave()
 	for range 5 {
 		if got := send(); got.outcome != outcome.Answered {
-			t.Errorf("after the server left: status %d, body %s", got.status, got.body)
+			t.Errorf("after the server left: status %d, body %s; want an answer of the other server", got.status, got.body)
 		}
 	}
 	if len(leaving.Started()) != 1 || len(staying.Started()) != 5 {
-		t.Errorf("the leaving server ran %d requests, the other %d", len(leaving.Started()), len(staying.Started()))
+		t.Errorf("the leaving server ran %d requests, the other %d; want 1 and 5", len(leaving.Started()), len(staying.Started()))
 	}
 }
 
@@ -49,7 +49,7 @@
 	_, server := newEntry(t, entry.Options{}, newSource(service("a", gone.address(), 0), service("b", running, 9)))
 	for range 5 {
 		if got := call(t, server, http.MethodPost, "/services/desk/once", "", "x"); got.outcome != outcome.Answered {
-			t.Errorf("outcome %v, status %d", got.outcome, got.status)
+			t.Errorf("got outcome %v, status %d; want answered", got.outcome, got.status)
 		}
 	}
 	if ran.Load() != 5 {
--- a/internal/entry/once_test.go
+++ b/internal/entry/once_test.go
@@ -317,20 +317,20 @@
 	one := call(t, first, http.MethodPost, "/services/desk/once", "k", "x")
 	two := call(t, second, http.MethodPost, "/services/desk/once", "k", "x")
 	if ran != 1 || one.body != "receipt 1" || two.body != one.body || two.status != http.StatusCreated || two.header.Get("Receipt") != "1" || two.header.Get("Idempotent-Replayed") != "true" {
-		t.Errorf("ran %d: %v, then %v", ran, one, two)
+		t.Errorf("got %d runs, answers %v and %v; want 1 run and its answer replayed", ran, one, two)
 	}
 	other := call(t, second, http.MethodPost, "/services/desk/once", "k", "y")
 	if other.status != http.StatusUnprocessableEntity || other.outcome != outcome.NotRun {
-		t.Errorf("different call with the same key: status %d, outcome %v", other.status, other.outcome)
+		t.Errorf("different call with the same key: got status %d, outcome %v; want 422, not-run", other.status, other.outcome)
 	}
 	state := call(t, second, http.MethodGet, "/claims/k", "", "")
 	if state.status != http.StatusOK || !strings.Contains(state.body, `"state":"finished"`) {
-		t.Errorf("claim: status %d, body %s", state.status, state.body)
+		t.Errorf("claim: got status %d, body %s; want 200 and the state finished", state.status, state.body)
 	}
 	if missing := call(t, second, http.MethodGet, "/claims/none", "", ""); missing.status != http.StatusNotFound {
-		t.Errorf("unused key: status %d", missing.status)
+		t.Errorf("unused key: got status %d, want 404", missing.status)
 	}
 	if ran != 1 {
-		t.Errorf("the call ran %d times", ran)
+		t.Errorf("the call ran %d times, want once", ran)
 	}
 }
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -110,7 +110,7 @@
 				t.Errorf("outcome %v, status %d: %s", got.outcome, got.status, got.body)
 			}
 			if len(e.Started()) != 0 {
-				t.Errorf("ran %v", e.Started())
+				t.Errorf("the engine ran %v, want no request", e.Started())
 			}
 		})
 	}
--- a/internal/entry/prefix_test.go
+++ b/internal/entry/prefix_test.go
@@ -40,7 +40,7 @@
 	turn := func(prompt string) string {
 		ran.Store("")
 		if got := call(t, server, http.MethodPost, "/v1/completions", "", `{"model":"`+model+`","prompt":"`+prompt+`"}`); got.status != http.StatusOK {
-			t.Fatalf("status %d: %s", got.status, got.body)
+			t.Fatalf("got status %d and body %s, want 200", got.status, got.body)
 		}
 		return ran.Load().(string)
 	}
@@ -56,7 +56,7 @@
 	conversation := strings.Repeat("x", 4096)
 	first := turn(conversation)
 	if first == "" || first == preferred {
-		t.Fatalf("the first turn ran on %q, the preferred engine is %q", first, preferred)
+		t.Fatalf("the first turn ran on %q, want another engine than the preferred %q", first, preferred)
 	}
 	allFree := append([]membership.Announcement(nil), engines...)
 	for i := range allFree {
@@ -64,9 +64,9 @@
 	}
 	from.servers = allFree
 	if next := turn(conversation + " and more"); next != first {
-		t.Errorf("the next turn ran on %q, the first on %q", next, first)
+		t.Errorf("the next turn ran on %q, want %q as the first turn", next, first)
 	}
 	if other := turn(strings.Repeat("y", 4096)); other != preferred {
-		t.Errorf("another conversation ran on %q, the preferred engine is %q", other, preferred)
+		t.Errorf("another conversation ran on %q, want the preferred engine %q", other, preferred)
 	}
 }
--- a/internal/entry/resume_test.go
+++ b/internal/entry/resume_test.go
@@ -106,7 +106,7 @@
 			t.Errorf("stream %v: %d tokens of %d, cut %v, outcome %v", stream, n, tokens, got.cut, got.outcome)
 		}
 		if len(e.Started()) != 1 || proxy.count() < 3 {
-			t.Errorf("stream %v: the engine ran %d requests over %d cuts", stream, len(e.Started()), proxy.count())
+			t.Errorf("stream %v: the engine ran %d requests over %d cuts, want 1 request and at least 3 cuts", stream, len(e.Started()), proxy.count())
 		}
 	}
 }
@@ -144,9 +144,9 @@
 	_, server := newEntry(t, entry.Options{}, newSource(engineServer("floor-1", first), busy))
 	got := call(t, server, http.MethodPost, "/v1/completions", "", completion("x", 3, true))
 	if got.outcome != outcome.Answered || got.cut || strings.Count(got.body, model+"/") != 3 {
-		t.Errorf("outcome %v: %s", got.outcome, got.body)
+		t.Errorf("got outcome %v and body %s, want a complete answer of 3 tokens", got.outcome, got.body)
 	}
 	if len(crashing.Started()) != 1 || len(healthy.Started()) != 1 {
-		t.Errorf("the crashing engine ran %d requests, the healthy one %d", len(crashing.Started()), len(healthy.Started()))
+		t.Errorf("the crashing engine ran %d requests, the healthy one %d; want 1 each", len(crashing.Started()), len(healthy.Started()))
 	}
 }
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -104,8 +104,8 @@
 }
 
 // noAnswer returns the failure for a call that no attempt answered. inDoubt is true
-// if a server may have run the call. The failure is sent immediately and tells the
-// caller when to retry.
+// if a server may have run the call. The failure is sent immediately and has a
+// retry time for the caller.
 func noAnswer(ctx context.Context, inDoubt bool) failure {
 	late := errors.Is(ctx.Err(), context.DeadlineExceeded)
 	switch {
@@ -120,7 +120,7 @@
 	}
 }
 
-// hasAgent reports whether an agent of this system stands in front of the server.
+// hasAgent reports whether the server is reached through an agent of this system.
 // Only an agent's report of a request's outcome is trusted, because a plain service
 // may set any header.
 func hasAgent(server membership.Announcement) bool { return server.Agent }
--- a/internal/entry/trial_test.go
+++ b/internal/entry/trial_test.go
@@ -91,6 +91,6 @@
 		}
 	}
 	if crashes != 2 || refused == 0 {
-		t.Errorf("%d crashes, the request was refused %d times out of 8", crashes, refused)
+		t.Errorf("got %d crashes and %d refusals of 8 requests, want 2 crashes and at least one refusal", crashes, refused)
 	}
 }
--- a/internal/entry/wait.go
+++ b/internal/entry/wait.go
@@ -10,7 +10,7 @@
 )
 
 // waitBudget is the remaining part of the contract's longest wait, across the entry
-// and all servers that the call is sent to. If each server measured the wait anew,
+// and all servers that the call is sent to. If each server started a new wait budget,
 // a call could wait for a multiple of what its contract allows.
 type waitBudget struct {
 	deadline time.Time
--- a/internal/entry/wait_test.go
+++ b/internal/entry/wait_test.go
@@ -21,7 +21,7 @@
 	full := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		left, err := strconv.ParseInt(r.Header.Get(wire.HeaderMaxWait), 10, 64)
 		if err != nil || left > last.Swap(left) {
-			t.Errorf("a server received the remaining wait %q", r.Header.Get(wire.HeaderMaxWait))
+			t.Errorf("a server received the remaining wait %q, want a number that does not increase", r.Header.Get(wire.HeaderMaxWait))
 		}
 		w.Header().Set(outcome.Header, outcome.NotRun.String())
 		w.Header().Set(wire.HeaderClause, "maxWait")
@@ -33,7 +33,7 @@
 	_, server := newEntry(t, entry.Options{}, newSource(engineServer("floor-1", address), engineServer("floor-2", address)))
 	got := call(t, server, http.MethodPost, "/v1/completions", "", completion("x", 3, false))
 	if got.outcome != outcome.NotRun || !strings.Contains(got.body, `"code":"limit_reached","param":"maxWait"`) {
-		t.Errorf("outcome %v: %s", got.outcome, got.body)
+		t.Errorf("got outcome %v and body %s, want not-run with the clause maxWait", got.outcome, got.body)
 	}
 	if want := strconv.FormatInt(7-attempts.Load(), 10); attempts.Load() < 2 || got.header.Get("Retry-After") != want {
 		t.Errorf("after %d servers Retry-After is %q, want %q", attempts.Load(), got.header.Get("Retry-After"), want)
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -183,7 +183,7 @@
 
 // Members returns the leader's view of the membership, or this instance's own view
 // while no leader can be reached. An instance that belongs to no log, or has
-// stepped out, knows no leader and therefore queries all other instances.
+// stepped out, has no known leader and therefore queries all other instances.
 func (r *Replica) Members(ctx context.Context) wire.MemberList {
 	status := r.Status()
 	own := r.ownMembers(status)
--- a/internal/wire/loads.go
+++ b/internal/wire/loads.go
@@ -6,7 +6,7 @@
 // WaitMillis, until the agent has a permit for one of the wanted loads.
 const MethodLoads = "loads.sync"
 
-// Loads reports to the load broker all loads that an agent wants and has in flight.
+// Loads reports to the load broker all loads that an agent requests or has in flight.
 type Loads struct {
 	Report broker.Report `json:"report"`
 	// Sequence increases with every message of an agent's incarnation, so that a
--- a/internal/wire/replica.go
+++ b/internal/wire/replica.go
@@ -149,7 +149,7 @@
 // MemberList is the leader's view of the membership.
 type MemberList struct {
 	Cluster string `json:"cluster"`
-	// Leader is empty if the answering instance knows no leader. The list is then
+	// Leader is empty if no leader is known to the answering instance. The list is then
 	// the instance's own view, and the state of the other members is unknown.
 	Leader  replog.ID `json:"leader,omitempty"`
 	Term    uint64    `json:"term"`
