--- a/internal/entry/leave_test.go
+++ b/internal/entry/leave_test.go
@@ -22,24 +22,24 @@
 	busy := engineServer("floor-2", second)
 	busy.Load.Running = 9
 	_, server := newEntry(t, entry.Options{}, newSource(engineServer("floor-1", first), busy))
-	ask := func() callResult {
+	send := func() callResult {
 		return call(t, server, http.MethodPost, "/v1/completions", "", completion("x", 2, false))
 	}
-	if got := ask(); got.outcome != outcome.Answered || len(leaving.Started()) != 1 {
-		t.Fatalf("before the server leaves: outcome %v, it ran %d requests", got.outcome, len(leaving.Started()))
+	if got := send(); got.outcome != outcome.Answered || len(leaving.Started()) != 1 {
+		t.Fatalf("before the server leaves: outcome %v, it ran %d requests; want answered, 1", got.outcome, len(leaving.Started()))
 	}
 	a.Leave()
 	for range 5 {
-		if got := ask(); got.outcome != outcome.Answered {
-			t.Errorf("after the server left: status %d, body %s", got.status, got.body)
+		if got := send(); got.outcome != outcome.Answered {
+			t.Errorf("after the server left: status %d, body %s; want an answer of the other server", got.status, got.body)
 		}
 	}
 	if len(leaving.Started()) != 1 || len(staying.Started()) != 5 {
-		t.Errorf("the leaving server ran %d requests, the other %d", len(leaving.Started()), len(staying.Started()))
+		t.Errorf("the leaving server ran %d requests, the other %d; want 1 and 5", len(leaving.Started()), len(staying.Started()))
 	}
 }
 
-// A booking desk without an agent is shut down, and the entry is not told. Its
+// A booking desk without an agent is shut down without notice to the entry. Its
 // address refuses connections, so even a deposit can safely be sent to the other
 // desk.
 func TestUnannouncedServiceShutdownLosesNoCall(t *testing.T) {
@@ -49,7 +49,7 @@
 	_, server := newEntry(t, entry.Options{}, newSource(service("a", gone.address(), 0), service("b", running, 9)))
 	for range 5 {
 		if got := call(t, server, http.MethodPost, "/services/desk/once", "", "x"); got.outcome != outcome.Answered {
-			t.Errorf("outcome %v, status %d", got.outcome, got.status)
+			t.Errorf("got outcome %v, status %d; want answered", got.outcome, got.status)
 		}
 	}
 	if ran.Load() != 5 {
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -110,7 +110,7 @@
 				t.Errorf("outcome %v, status %d: %s", got.outcome, got.status, got.body)
 			}
 			if len(e.Started()) != 0 {
-				t.Errorf("ran %v", e.Started())
+				t.Errorf("the engine ran %v, want no request", e.Started())
 			}
 		})
 	}
@@ -170,7 +170,7 @@
 	}
 }
 
-func eventually(t *testing.T, what string, condition func() bool) {
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for range 500 {
 		if condition() {
@@ -178,5 +178,5 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("timed out waiting for: %s", what)
+	t.Fatalf("timed out waiting for: %s", description)
 }
--- a/internal/entry/wait.go
+++ b/internal/entry/wait.go
@@ -10,7 +10,7 @@
 )
 
 // waitBudget is the remaining part of the contract's longest wait, across the entry
-// and all servers that the call is sent to. If each server measured the wait anew,
+// and all servers that the call is sent to. If each server started a new wait budget,
 // a call could wait for a multiple of what its contract allows.
 type waitBudget struct {
 	deadline time.Time
@@ -50,8 +50,9 @@
 	b.refused = true
 }
 
-// exhausted reports whether the call has waited as long as it may. Its caller is
-// then told immediately instead of after an attempt at another server.
+// exhausted reports whether a server refused the call because of its wait and the
+// wait budget is used up. The call is then refused immediately instead of after an
+// attempt at another server.
 func (b *waitBudget) exhausted() bool {
 	return b != nil && b.refused && !time.Now().Before(b.deadline)
 }
