--- a/cmd/rosemaryctl/main_test.go
+++ b/cmd/rosemaryctl/main_test.go
@@ -161,12 +161,12 @@
 		t.Errorf("rotate: %d %s", code, errOut)
 	}
 	if code, _, _ := ctl(t, url, "key", "remove", "cascade", "--hash", key.Hash); code != exitNotFound {
-		t.Errorf("removing a rotated key: %d", code)
+		t.Errorf("remove of a rotated key: got exit code %d, want not found", code)
 	}
 	var rotated contract.Contract
 	_, contractJSON, _ = ctl(t, url, "contract", "get", "cascade")
 	if err := json.Unmarshal([]byte(contractJSON), &rotated); err != nil || len(rotated.KeyHashes) != 1 {
-		t.Errorf("%v: %s", err, contractJSON)
+		t.Errorf("contract after the rotation: got error %v and %s, want 1 key hash", err, contractJSON)
 	}
 	if _, out, _ := ctl(t, url, "key", "make"); !strings.Contains(out, "rp_") {
 		t.Errorf("make: %s", out)
@@ -228,7 +228,7 @@
 		}))
 		code, out, _ := ctl(t, "http://127.0.0.1:1", "ask", "--entry", entry.URL, "--model", "a@1", "hello")
 		if code != c.code || !strings.Contains(out, "a plan") {
-			t.Errorf("%s: exit %d, %s", c.outcome, code, out)
+			t.Errorf("%s: got exit code %d and %s, want the code of the case and the answer's text", c.outcome, code, out)
 		}
 		entry.Close()
 	}
@@ -247,7 +247,7 @@
 	got := strings.Fields(strings.Split(out.String(), "\n")[1])
 	want := []string{"floor", "a", "1", "1", "7", "2", "35%", "0", "50%", "400", "ms", "20%", "200", "ms"}
 	if !slices.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("got %v, want %v", got, want)
 	}
 }
 
--- a/cmd/rosemaryctl/members_test.go
+++ b/cmd/rosemaryctl/members_test.go
@@ -71,7 +71,7 @@
 	for _, step := range steps {
 		code, out, errOut := ctl(t, url, step.line...)
 		if code != step.code || !strings.Contains(out+errOut, step.want) {
-			t.Errorf("%v: exit %d, %s%s", step.line, code, out, errOut)
+			t.Errorf("%v: got exit code %d and %s%s, want the code and text of the step", step.line, code, out, errOut)
 		}
 	}
 	if _, out, _ := ctl(t, startReplicatedControl(t, false), "members", "list"); !strings.Contains(out, "belongs to no log yet") {
--- a/cmd/rosemaryd/main.go
+++ b/cmd/rosemaryd/main.go
@@ -189,8 +189,8 @@
 		<-signals
 		cancel()
 	}()
-	if cut := stop(ctx); cut > 0 {
-		return errors.Errorf("the stop cut off %d requests", cut)
+	if aborted := stop(ctx); aborted > 0 {
+		return errors.Errorf("the stop cut off %d requests", aborted)
 	}
 	return nil
 }
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -43,6 +43,6 @@
 		// announcement: an entry retries a refused request on another server at
 		// once, but a request to a closed address only after a timeout.
 		_ = wait.For(ctx, stopGrace)
-		d.reportCutRequests(agentListen, a.Wait(ctx))
+		d.reportAbortedRequests(agentListen, a.Wait(ctx))
 	})
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -35,9 +35,9 @@
 	statusListen   = "statusListen"
 )
 
-// requestsCut counts the requests that were aborted because a stop reached its
+// requestsAborted counts the requests that were aborted because a stop reached its
 // deadline.
-var requestsCut = telemetry.Counter("stop_requests_cut")
+var requestsAborted = telemetry.Counter("stop_requests_cut")
 
 // Daemon is a process and the roles that it runs.
 type Daemon struct {
@@ -55,8 +55,8 @@
 	addresses map[string]string
 	// readiness holds one check for each role that reports readiness.
 	readiness []func() bool
-	// cut counts the requests that the stop aborted.
-	cut int
+	// aborted is the number of requests that the stop has aborted.
+	aborted int
 }
 
 // Start opens the listeners and starts the background tasks of every role.
@@ -95,8 +95,8 @@
 	}
 	d.stop()
 	d.background.Wait()
-	d.log.Info("stopped", zap.Int("cut", d.cut))
-	return d.cut
+	d.log.Info("stopped", zap.Int("cut", d.aborted))
+	return d.aborted
 }
 
 // Control returns the control role, or nil if this daemon does not run it.
@@ -135,12 +135,12 @@
 	return nil
 }
 
-// reportCutRequests counts and logs the requests that a stop aborted at its deadline.
-func (d *Daemon) reportCutRequests(listener string, requests int) {
+// reportAbortedRequests counts and logs the requests that a stop aborted at its deadline.
+func (d *Daemon) reportAbortedRequests(listener string, requests int) {
 	if requests == 0 {
 		return
 	}
-	d.cut += requests
-	requestsCut.Add(int64(requests))
+	d.aborted += requests
+	requestsAborted.Add(int64(requests))
 	d.log.Warn("the stop cut requests off", zap.String("listener", listener), zap.Int("requests", requests))
 }
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -59,7 +59,7 @@
 	return d.serveHTTP(entryListen, s.Listen, plaintext, e.Handler(), func(ctx context.Context) {
 		e.Drain()
 		_ = wait.For(ctx, stopGrace)
-		d.reportCutRequests(entryListen, e.Wait(ctx))
+		d.reportAbortedRequests(entryListen, e.Wait(ctx))
 		limits.Stop(ctx)
 	})
 }
--- a/internal/daemon/ledger_test.go
+++ b/internal/daemon/ledger_test.go
@@ -50,7 +50,7 @@
 			return err
 		}
 		if reply.Verdict != step.verdict {
-			return fmt.Errorf("%s: %s, want %s", key, reply.Verdict, step.verdict)
+			return fmt.Errorf("claim %s: got verdict %s, want %s", key, reply.Verdict, step.verdict)
 		}
 	}
 	return nil
@@ -79,8 +79,8 @@
 		})
 	}
 	<-halfway
-	if cut := daemons[0].Stop(ctx); cut != 0 {
-		t.Errorf("the stop aborted %d requests", cut)
+	if aborted := daemons[0].Stop(ctx); aborted != 0 {
+		t.Errorf("the stop aborted %d requests, want 0", aborted)
 	}
 	workers.Wait()
 }
--- a/internal/daemon/propagation_bench_test.go
+++ b/internal/daemon/propagation_bench_test.go
@@ -78,7 +78,7 @@
 			return result.Index
 		}
 		if ctx.Err() != nil {
-			b.Fatalf("%+v, %v", result, err)
+			b.Fatalf("proposal not accepted: got %+v, %v", result, err)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -351,13 +351,13 @@
 // Stop shuts the demo down gracefully and returns the number of requests that it
 // aborted.
 func (d *Demo) Stop(ctx context.Context) int {
-	cut := 0
+	aborted := 0
 	if d.daemon != nil {
-		cut = d.daemon.Stop(ctx)
+		aborted = d.daemon.Stop(ctx)
 	}
 	d.cancel()
 	for _, server := range d.servers {
 		_ = server.Close()
 	}
-	return cut
+	return aborted
 }
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -59,7 +59,7 @@
 	for _, model := range demo.Adapters {
 		response, body := post(t, d, "/v1/completions", demo.CallerKey, `{"model":"`+model+`","prompt":"x","max_tokens":3}`)
 		if response.StatusCode != http.StatusOK {
-			t.Fatalf("%s: %s: %s", model, response.Status, body)
+			t.Fatalf("%s: got %s: %s, want 200", model, response.Status, body)
 		}
 		var answer struct {
 			Model   string
@@ -74,7 +74,7 @@
 			t.Errorf("%s: got model %q, text %q, want %q", model, answer.Model, answer.Choices[0].Text, want)
 		}
 		if got := response.Header.Get(outcome.Header); got != outcome.Answered.String() {
-			t.Errorf("%s: outcome %q", model, got)
+			t.Errorf("%s: got outcome %q, want answered", model, got)
 		}
 	}
 }
@@ -98,16 +98,16 @@
 	for _, c := range cases {
 		response, body := post(t, d, c.path, c.key, c.body)
 		if response.StatusCode != c.status || !strings.Contains(body, `"code":"`+c.code+`"`) {
-			t.Errorf("%s: got %s %s", c.name, response.Status, body)
+			t.Errorf("%s: got %s %s, want the status and code of the case", c.name, response.Status, body)
 		}
 		if got := response.Header.Get(outcome.Header); got != outcome.NotRun.String() {
-			t.Errorf("%s: outcome %q", c.name, got)
+			t.Errorf("%s: got outcome %q, want not-run", c.name, got)
 		}
 	}
 	if ran := d.Engine.Started(); len(ran) != 0 {
-		t.Errorf("the engine ran %v", ran)
+		t.Errorf("the engine ran %v, want no requests", ran)
 	}
 	if calls := d.Service.Calls(); len(calls) != 0 {
-		t.Errorf("the service ran %v", calls)
+		t.Errorf("the service ran %v, want no calls", calls)
 	}
 }
--- a/internal/demo/drain_test.go
+++ b/internal/demo/drain_test.go
@@ -34,7 +34,7 @@
 	send := func() (int, string) {
 		response, body := post(t, d, "/v1/completions", demo.CallerKey, `{"model":"`+demo.Adapters[0]+`","prompt":"x","max_tokens":1}`)
 		if response.StatusCode != http.StatusOK && response.Header.Get(outcome.Header) != outcome.NotRun.String() {
-			t.Errorf("%s %s", response.Status, body)
+			t.Errorf("got %s %s, want 200 or the outcome not-run", response.Status, body)
 		}
 		return response.StatusCode, body
 	}
@@ -50,12 +50,12 @@
 		}
 		report, err := client.InForce(t.Context(), result.Index, 10*time.Second)
 		if err != nil || !report.Done {
-			t.Fatalf("%+v, %v", report, err)
+			t.Fatalf("the change is not in force: got %+v, %v", report, err)
 		}
 	}
 	setWanted(state.WantedDraining)
 	if status, body := send(); status != http.StatusServiceUnavailable || !strings.Contains(body, "no_server") {
-		t.Errorf("while drained: %d %s", status, body)
+		t.Errorf("while drained: got %d %s, want 503 with no_server", status, body)
 	}
 	setWanted(state.WantedServing)
 	deadline := time.Now().Add(10 * time.Second)
--- a/internal/demo/limits_test.go
+++ b/internal/demo/limits_test.go
@@ -24,7 +24,7 @@
 	running.Go(func() {
 		request := `{"model":"quote-draft@1","prompt":"x","max_tokens":250}`
 		if response, body := post(t, d, "/v1/completions", demo.CallerKey, request); response.StatusCode != http.StatusOK {
-			t.Errorf("the running request: %s: %s", response.Status, body)
+			t.Errorf("the running request: got %s: %s, want 200", response.Status, body)
 		}
 	})
 	awaitRequestInFlight(t, operators)
@@ -42,10 +42,10 @@
 	}
 	response, body := post(t, d, "/v1/completions", demo.CallerKey, `{"model":"quote-draft@1","prompt":"x","max_tokens":1}`)
 	if response.StatusCode != http.StatusTooManyRequests || response.Header.Get(wire.HeaderClause) != string(contract.ClauseConcurrency) {
-		t.Errorf("the next request: %s: %s", response.Status, body)
+		t.Errorf("the next request: got %s: %s, want 429 with the concurrency clause", response.Status, body)
 	}
 	if response.Header.Get("Retry-After") == "" || !strings.Contains(body, `"param":"concurrency"`) {
-		t.Errorf("the next request: %v: %s", response.Header, body)
+		t.Errorf("the next request: got header %v, body %s, want Retry-After and the clause", response.Header, body)
 	}
 	running.Wait()
 	// The concurrency slot becomes free again.
--- a/internal/demo/loads_test.go
+++ b/internal/demo/loads_test.go
@@ -18,7 +18,7 @@
 	for _, model := range demo.Adapters {
 		response, body := post(t, d, "/v1/completions", demo.CallerKey, `{"model":"`+model+`","prompt":"x","max_tokens":1}`)
 		if response.StatusCode != http.StatusOK {
-			t.Fatalf("%s: %s: %s", model, response.Status, body)
+			t.Fatalf("%s: got %s: %s, want 200", model, response.Status, body)
 		}
 	}
 	// If the machine stalls, individual loads may proceed without a permit.
--- a/internal/demo/once_test.go
+++ b/internal/demo/once_test.go
@@ -19,13 +19,13 @@
 	first, receipt := deposit(`{"amount":50}`)
 	second, secondReceipt := deposit(`{"amount":50}`)
 	if first.StatusCode != http.StatusOK || secondReceipt != receipt || second.Header.Get("Idempotent-Replayed") != "true" {
-		t.Errorf("%s %q, then %s %q", first.Status, receipt, second.Status, secondReceipt)
+		t.Errorf("got %s %q, then %s %q, want the same receipt twice, the second one replayed", first.Status, receipt, second.Status, secondReceipt)
 	}
 	other, body := deposit(`{"amount":60}`)
 	if other.StatusCode != http.StatusUnprocessableEntity || other.Header.Get(outcome.Header) != outcome.NotRun.String() {
-		t.Errorf("different deposit with the same key: %s %s", other.Status, body)
+		t.Errorf("different deposit with the same key: got %s %s, want 422 and the outcome not-run", other.Status, body)
 	}
 	if calls := d.Service.Calls(); len(calls) != 1 {
-		t.Errorf("the service ran %v", calls)
+		t.Errorf("the service ran %v, want 1 call", calls)
 	}
 }
--- a/internal/demo/stop_test.go
+++ b/internal/demo/stop_test.go
@@ -59,7 +59,7 @@
 // Guards against a planned stop that aborts streams, which costs the callers the
 // whole response, or that refuses requests too early: the load balancer sends
 // requests until it has seen that the entry is not ready.
-func TestPlannedStopReportsNotReadyAndCompletesStreams(t *testing.T) {
+func TestPlannedStop(t *testing.T) {
 	d, err := demo.StartWith(demo.Options{Listen: "127.0.0.1:0", TokenTime: 5 * time.Millisecond}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 			id, body, err := streamCompletion(d, tokens)
 			complete := strings.HasSuffix(body, "data: [DONE]\n\n") && strings.Contains(body, engine.TokenText(demo.Adapters[0], id, tokens-1))
 			if err != nil || !complete {
-				t.Errorf("stream %d: complete %v, %v", i, complete, err)
+				t.Errorf("stream %d: got complete = %v, %v, want a complete stream", i, complete, err)
 			}
 		})
 	}
@@ -83,11 +83,11 @@
 	}
 	response, body := post(t, d, "/v1/completions", demo.CallerKey, `{"model":"`+demo.Adapters[0]+`","prompt":"x","max_tokens":1}`)
 	if response.StatusCode != http.StatusOK || response.Header.Get(outcome.Header) != outcome.Answered.String() {
-		t.Errorf("request sent right after the entry became unready: %s %s", response.Status, body)
+		t.Errorf("request sent right after the entry became unready: got %s %s, want 200", response.Status, body)
 	}
 	callers.Wait()
-	if cut := <-stopped; cut != 0 {
-		t.Errorf("the stop aborted %d requests", cut)
+	if aborted := <-stopped; aborted != 0 {
+		t.Errorf("the stop aborted %d requests, want 0", aborted)
 	}
 }
 
@@ -112,8 +112,8 @@
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
-	if cut := <-stopped; cut == 0 {
-		t.Error("the stop reported no aborted requests")
+	if aborted := <-stopped; aborted == 0 {
+		t.Error("the stop reported 0 aborted requests, want at least 1")
 	}
 	if err := <-ended; err == nil {
 		t.Error("the aborted stream ended without an error")
--- a/internal/demo/tls_test.go
+++ b/internal/demo/tls_test.go
@@ -61,11 +61,11 @@
 	d := startDemoWithTLS(t)
 	response, body := post(t, d, "/v1/completions", demo.CallerKey, `{"model":"quote-draft@1","prompt":"x","max_tokens":1}`)
 	if response.StatusCode != http.StatusOK {
-		t.Fatalf("%s %s", response.Status, body)
+		t.Fatalf("completion: got %s %s, want 200", response.Status, body)
 	}
 	response, body = post(t, d, "/services/booking-desk/deposits", demo.CallerKey, `{}`)
 	if !strings.Contains(body, "idempotency_key_required") {
-		t.Errorf("%s %s", response.Status, body)
+		t.Errorf("deposit without a key: got %s %s, want idempotency_key_required", response.Status, body)
 	}
 
 	client := rpc.NewClient(d.Peer)
@@ -100,7 +100,7 @@
 		}
 		_ = response.Body.Close()
 		if response.StatusCode != http.StatusOK {
-			t.Errorf("%s: %s", path, response.Status)
+			t.Errorf("%s: got %s, want 200", path, response.Status)
 		}
 	}
 	response, err := http.Get("http://" + d.Entry + "/debug/vars")
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -14,8 +14,8 @@
 	mu       sync.Mutex
 	inFlight int
 	closed   bool
-	// idle is closed, and signalled is set, when the gate is closed and no request
-	// is in flight.
+	// idle is closed and signalled is set once the gate is closed and no request is
+	// in flight.
 	idle      chan struct{}
 	signalled bool
 }
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -24,18 +24,18 @@
 	}
 }
 
-// A held address refuses connections, and no other listener can bind to it.
+// The address of a Refuser refuses connections, and no other listener can bind to it.
 func TestRefuserRefusesConnections(t *testing.T) {
-	held, err := loopback.NewRefuser()
+	refuser, err := loopback.NewRefuser()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
-	if _, err := net.Dial("tcp", held.Address()); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("dial %s: got %v, want ECONNREFUSED", held.Address(), err)
+	defer refuser.Close()
+	if _, err := net.Dial("tcp", refuser.Address()); !errors.Is(err, syscall.ECONNREFUSED) {
+		t.Errorf("dial %s: got %v, want ECONNREFUSED", refuser.Address(), err)
 	}
-	if listener, err := net.Listen("tcp", held.Address()); err == nil {
+	if listener, err := net.Listen("tcp", refuser.Address()); err == nil {
 		_ = listener.Close()
-		t.Errorf("another listener could bind to %s while it was held", held.Address())
+		t.Errorf("another listener could bind to %s while it was held", refuser.Address())
 	}
 }
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -107,8 +107,8 @@
 // Operation returns the operation ID that changes are sent under.
 func (c *Client) Operation() string { return c.options.Operation }
 
-// Unconfirmed reports whether any answer came from an instance without
-// confirmation by a quorum, so that the answer may lack recent changes.
+// Unconfirmed reports whether any answer so far was not confirmed by a quorum, so
+// that it may lack recent changes.
 func (c *Client) Unconfirmed() bool { return c.unconfirmed.Load() }
 
 // RefusedError is returned for a result with a code other than ok. It wraps
--- a/internal/operator/client_test.go
+++ b/internal/operator/client_test.go
@@ -21,7 +21,7 @@
 		client := NewClient(Options{URLs: []string{server.URL}, Rounds: 1})
 		result, err := client.Change(t.Context(), http.MethodPut, "/admin/v1/models/m", struct{}{})
 		if (err == nil) != accepted || err != nil && !errors.Is(err, ErrUnknown) {
-			t.Errorf("body %q: got %+v, %v", body, result, err)
+			t.Errorf("body %q: got %+v, %v, want success only for a committed result, else ErrUnknown", body, result, err)
 		}
 		server.Close()
 	}
--- a/internal/operator/document.go
+++ b/internal/operator/document.go
@@ -62,8 +62,8 @@
 	Unchanged Outcome = "unchanged"
 	// Written means that the object was created or changed.
 	Written Outcome = "written"
-	// Failed means that the object is unchanged, or that it is unknown whether it
-	// was written; importing again resolves this.
+	// Failed means that the object was not written, or that it is unknown whether it
+	// was; importing again resolves this.
 	Failed Outcome = "failed"
 )
 
--- a/internal/operator/messages.go
+++ b/internal/operator/messages.go
@@ -92,7 +92,7 @@
 // InForce reports which daemons a change is in force in.
 type InForce struct {
 	Index uint64 `json:"index"`
-	// Done means that no living daemon works without the change.
+	// Done means that no living daemon still operates without the change.
 	Done bool `json:"done"`
 	// Waiting are living daemons that have not confirmed the change.
 	Waiting []wire.Daemon `json:"waiting,omitempty"`
--- a/internal/pki/pki.go
+++ b/internal/pki/pki.go
@@ -49,7 +49,7 @@
 // certificate and valid only for the given IP addresses.
 func Issue(authority Pair, instance string, addresses []net.IP, now time.Time, validity time.Duration) (Pair, error) {
 	if len(addresses) == 0 {
-		return Pair{}, errors.New("an instance's certificate needs at least one IP number")
+		return Pair{}, errors.New("an instance's certificate needs at least one IP address")
 	}
 	parent, parentKey, err := parse(authority)
 	if err != nil {
--- a/internal/settings/agent.go
+++ b/internal/settings/agent.go
@@ -19,13 +19,13 @@
 	BaseModel string `json:"baseModel"`
 	// Slots is the number of adapter slots of the engine.
 	Slots int `json:"slots"`
-	// Queue is the most requests that may wait for a slot.
+	// Queue is the maximum number of requests that wait for a slot.
 	Queue int `json:"queue"`
-	// LoadTimeout is the longest time that one adapter load may take.
+	// LoadTimeout bounds the duration of one adapter load.
 	LoadTimeout Duration `json:"loadTimeout"`
 	// AnnounceInterval is the time between announcements.
 	AnnounceInterval Duration `json:"announceInterval"`
-	// DrainTimeout is the longest time that a planned stop may take.
+	// DrainTimeout bounds the duration of a planned stop.
 	DrainTimeout Duration `json:"drainTimeout"`
 }
 
--- a/internal/settings/fleet.go
+++ b/internal/settings/fleet.go
@@ -36,15 +36,15 @@
 	Bootstrap bool `json:"bootstrap"`
 	// DataFolder holds the replicated log; it is empty for a process without a disk.
 	DataFolder string `json:"dataFolder"`
-	// MemoryMB is the most memory that the process may use, in megabytes.
+	// MemoryMB is the memory limit of the process, in megabytes.
 	MemoryMB float64 `json:"memoryMB"`
 	// ToleratedLosses is the number of machines with a disk that the deployment
 	// survives losing at once.
 	ToleratedLosses int `json:"lossesBorne"`
-	// StopSeconds is the longest time that a planned stop may take, in seconds.
+	// StopSeconds is the time limit of a planned stop, in seconds.
 	StopSeconds float64 `json:"stopSeconds"`
 	// DrainMillis is the time, in milliseconds, after which a leaving server must
-	// get no new work.
+	// no longer receive new requests.
 	DrainMillis float64 `json:"drainMillis"`
 	// RepeatRatio and RepeatSlack bound the retries of all entries together in each
 	// window of RepeatWindowSeconds.
@@ -136,7 +136,7 @@
 	}
 }
 
-// StopTimeout returns the longest time that a planned stop may take.
+// StopTimeout returns the time limit of a planned stop.
 func (f *Fleet) StopTimeout() time.Duration {
 	if f.StopSeconds <= 0 {
 		return defaultStopTimeout
@@ -169,7 +169,7 @@
 	return time.Duration(f.VersionMillis * float64(time.Millisecond))
 }
 
-// MemoryLimit returns the most memory that the process may use, in bytes.
+// MemoryLimit returns the memory limit of the process, in bytes.
 func (f *Fleet) MemoryLimit() int64 {
 	limit := f.MemoryMB
 	if limit <= 0 {
--- a/internal/settings/fleet_test.go
+++ b/internal/settings/fleet_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	if f.Instance != "entry-1" || len(f.Seeds) != 2 || f.DataFolder != "" || f.StopTimeout() != 8*time.Second || f.MaxVersionDelay() != 5*time.Second || f.MemoryLimit() != 284e6 {
-		t.Errorf("got %+v", f)
+		t.Errorf("got %+v, want the values of validFleet", f)
 	}
 	f.StopSeconds, f.VersionMillis, f.MemoryMB = 0, 0, 0
 	if f.StopTimeout() <= 0 || f.MaxVersionDelay() <= 0 || f.MemoryLimit() <= 0 {
@@ -51,7 +51,7 @@
 			_, err := settings.ParseFleet("f.jsonc", []byte(text))
 			var invalid *settings.InvalidError
 			if !errors.As(err, &invalid) {
-				t.Fatalf("got %v", err)
+				t.Fatalf("got %v, want an InvalidError", err)
 			}
 			if got := invalid.Problems[0]; got.Path != test.path || got.Line == 0 {
 				t.Errorf("the first problem is %s, want one of %s", got, test.path)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// DrainTimeout returns the longest time that a planned stop may take: the maximum
-// over the daemon's roles.
+// DrainTimeout returns the time limit of a planned stop, which is the maximum of the
+// limits of the daemon's roles.
 func (s *Settings) DrainTimeout() time.Duration {
 	var longest Duration
 	if s.Entry != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -27,10 +27,10 @@
 		t.Fatal(err)
 	}
 	if got := time.Duration(s.Entry.DialTimeout); got != 250*time.Millisecond {
-		t.Errorf("dialTimeout %s", got)
+		t.Errorf("dialTimeout: got %s, want 250ms", got)
 	}
 	if s.Entry.MaxBodyBytes != 4<<20 || s.DrainTimeout() != 2*time.Minute || s.Telemetry.Traces != settings.TracesOff {
-		t.Errorf("defaults: %+v %+v", s.Entry, s.Telemetry)
+		t.Errorf("got entry %+v and telemetry %+v, want the defaults", s.Entry, s.Telemetry)
 	}
 }
 
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -23,9 +23,10 @@
 type Options struct {
 	// BaseModel is the name of the model that is served without an adapter.
 	BaseModel string
-	// Slots is the most adapters that may be loaded at the same time.
+	// Slots is the maximum number of adapters that are loaded at the same time.
 	Slots int
-	// Capacity is the most requests in one batch; further requests wait. 0 means 16.
+	// Capacity is the maximum number of requests in one batch; further requests wait.
+	// 0 means 16.
 	Capacity int
 	// Tokens is the length, in tokens, of the answer to a request without
 	// max_tokens; 0 means 16.
@@ -41,7 +42,7 @@
 	SlowLoads map[string]time.Duration
 	// FailLoads lists the names of adapters that fail to load.
 	FailLoads []string
-	// ReportLag is how long a load report is served again before it is refreshed.
+	// ReportLag is how long a load report is cached before it is refreshed.
 	ReportLag time.Duration
 	// CrashMarker makes the engine restart when a prompt contains it.
 	CrashMarker string
@@ -66,7 +67,7 @@
 	running      int
 	waiting      int
 	maxFencing   uint64
-	ran          []StartedRequest
+	started      []StartedRequest
 	cancelled    int
 	evictedInUse int
 	report       Report
@@ -137,7 +138,7 @@
 func (e *Engine) Started() []StartedRequest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.Clone(e.ran)
+	return slices.Clone(e.started)
 }
 
 // Loaded returns the names of the loaded adapters.
@@ -168,7 +169,7 @@
 }
 
 func (e *Engine) load(w http.ResponseWriter, r *http.Request) {
-	o, ok := e.readLoRARequest(w, r)
+	request, ok := e.readLoRARequest(w, r)
 	if !ok {
 		return
 	}
@@ -176,17 +177,17 @@
 	restarted := e.restarted
 	e.mu.Unlock()
 	select {
-	case <-time.After(e.loadTime(o.Name)):
+	case <-time.After(e.loadTime(request.Name)):
 	case <-restarted:
 		panic(http.ErrAbortHandler)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if slices.Contains(e.options.FailLoads, o.Name) {
+	if slices.Contains(e.options.FailLoads, request.Name) {
 		http.Error(w, "load failed", http.StatusInternalServerError)
 		return
 	}
-	if slices.Contains(e.loaded, o.Name) {
+	if slices.Contains(e.loaded, request.Name) {
 		w.WriteHeader(http.StatusOK)
 		return
 	}
@@ -194,7 +195,7 @@
 		http.Error(w, "no free adapter slot", http.StatusConflict)
 		return
 	}
-	e.loaded = append(e.loaded, o.Name)
+	e.loaded = append(e.loaded, request.Name)
 	w.WriteHeader(http.StatusOK)
 }
 
@@ -206,34 +207,34 @@
 }
 
 func (e *Engine) unload(w http.ResponseWriter, r *http.Request) {
-	o, ok := e.readLoRARequest(w, r)
+	request, ok := e.readLoRARequest(w, r)
 	if !ok {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.inUse[o.Name] > 0 {
+	if e.inUse[request.Name] > 0 {
 		e.evictedInUse++
 	}
-	e.loaded = slices.DeleteFunc(e.loaded, func(name string) bool { return name == o.Name })
+	e.loaded = slices.DeleteFunc(e.loaded, func(name string) bool { return name == request.Name })
 	w.WriteHeader(http.StatusOK)
 }
 
 func (e *Engine) readLoRARequest(w http.ResponseWriter, r *http.Request) (loraRequest, bool) {
-	var o loraRequest
-	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
+	var request loraRequest
+	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
-		return o, false
+		return request, false
 	}
 	fencing, _ := strconv.ParseUint(r.Header.Get(wire.HeaderFencing), 10, 64)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.options.EnforceFencing && fencing < e.maxFencing {
 		http.Error(w, "fencing number is old", http.StatusPreconditionFailed)
-		return o, false
+		return request, false
 	}
 	e.maxFencing = max(e.maxFencing, fencing)
-	return o, true
+	return request, true
 }
 
 func (e *Engine) reportLoad(w http.ResponseWriter, _ *http.Request) {
@@ -316,7 +317,7 @@
 	if model != e.options.BaseModel && !slices.Contains(e.loaded, model) {
 		return nil, nil, false
 	}
-	e.ran = append(e.ran, StartedRequest{RequestID: id, Model: model, Prompt: prompt})
+	e.started = append(e.started, StartedRequest{RequestID: id, Model: model, Prompt: prompt})
 	restarted, batch := e.restarted, e.batch
 	if e.options.CrashMarker != "" && strings.Contains(prompt, e.options.CrashMarker) {
 		e.restart()
