--- a/cmd/rosemaryd/main.go
+++ b/cmd/rosemaryd/main.go
@@ -136,7 +136,7 @@
 		return err
 	}
 	fmt.Println("rosemarypass demo: all roles, a stand-in engine and a stand-in service are running. Try:")
-	fmt.Println(d.CurlLine())
+	fmt.Println(d.CurlCommand())
 	fmt.Println("For rosemaryctl:")
 	fmt.Printf("export ROSEMARY_CONTROL=%s ROSEMARY_KEY=%s\n", d.OperatorURL(), demo.OperatorKey)
 	fmt.Printf("Checks and counters: http://%s/readyz and /debug/vars\n", d.Status)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -342,8 +342,8 @@
 	return found
 }
 
-// CurlLine returns a curl command that requests a completion from the demo.
-func (d *Demo) CurlLine() string {
+// CurlCommand returns a curl command that requests a completion from the demo.
+func (d *Demo) CurlCommand() string {
 	return fmt.Sprintf(`curl -sS http://%s/v1/completions -H 'Authorization: Bearer %s' -H 'Content-Type: application/json' -d '{"model":"%s","prompt":"Draft a rehearsal plan.","max_tokens":8}'`,
 		d.Entry, CallerKey, Adapters[0])
 }
--- a/internal/operator/limits.go
+++ b/internal/operator/limits.go
@@ -10,7 +10,7 @@
 
 // Limits are the limits in force and their use, as counted by the quota owner.
 type Limits struct {
-	// Epoch is the owner's fencing token. Counts restart with each new epoch.
+	// Epoch is the owner's fencing number. Counts restart with each new epoch.
 	Epoch uint64 `json:"epoch"`
 	// Contracts are the contracts in use. The owner holds no state for the others,
 	// and they are omitted.
