--- a/cmd/rosemaryd/main.go
+++ b/cmd/rosemaryd/main.go
@@ -136,7 +136,7 @@
 		return err
 	}
 	fmt.Println("rosemarypass demo: all roles, a stand-in engine and a stand-in service are running. Try:")
-	fmt.Println(d.CurlLine())
+	fmt.Println(d.CurlCommand())
 	fmt.Println("For rosemaryctl:")
 	fmt.Printf("export ROSEMARY_CONTROL=%s ROSEMARY_KEY=%s\n", d.OperatorURL(), demo.OperatorKey)
 	fmt.Printf("Checks and counters: http://%s/readyz and /debug/vars\n", d.Status)
@@ -189,8 +189,8 @@
 		<-signals
 		cancel()
 	}()
-	if cut := stop(ctx); cut > 0 {
-		return errors.Errorf("the stop cut off %d requests", cut)
+	if aborted := stop(ctx); aborted > 0 {
+		return errors.Errorf("the stop cut off %d requests", aborted)
 	}
 	return nil
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -342,8 +342,8 @@
 	return found
 }
 
-// CurlLine returns a curl command that requests a completion from the demo.
-func (d *Demo) CurlLine() string {
+// CurlCommand returns a curl command that requests a completion from the demo.
+func (d *Demo) CurlCommand() string {
 	return fmt.Sprintf(`curl -sS http://%s/v1/completions -H 'Authorization: Bearer %s' -H 'Content-Type: application/json' -d '{"model":"%s","prompt":"Draft a rehearsal plan.","max_tokens":8}'`,
 		d.Entry, CallerKey, Adapters[0])
 }
@@ -351,13 +351,13 @@
 // Stop shuts the demo down gracefully and returns the number of requests that it
 // aborted.
 func (d *Demo) Stop(ctx context.Context) int {
-	cut := 0
+	aborted := 0
 	if d.daemon != nil {
-		cut = d.daemon.Stop(ctx)
+		aborted = d.daemon.Stop(ctx)
 	}
 	d.cancel()
 	for _, server := range d.servers {
 		_ = server.Close()
 	}
-	return cut
+	return aborted
 }
