--- a/internal/gateway/agents.go
+++ b/internal/gateway/agents.go
@@ -15,9 +15,9 @@
 )
 
 // watch follows the agent on an engine's machine. An engine that restarts keeps its agent: the
-// known state remains valid, and the first requests to the new incarnation ask the agent as all
-// others do.
-func (s *servers) watch(ctx context.Context, engineAddress string, near bool) *agentClient {
+// known state remains valid, and requests to the new incarnation ask the agent for a start from
+// the first one on.
+func (s *servers) watch(ctx context.Context, engineAddress string, sameDataCentre bool) *agentClient {
 	host, _, err := net.SplitHostPort(engineAddress)
 	if err != nil {
 		return nil
@@ -27,29 +27,29 @@
 		return known
 	}
 	ctx, stop := context.WithCancel(ctx)
-	a := &agentClient{stop: stop, sameDataCentre: near, client: rpc.NewClient(address)}
-	a.pause.Store(int64(watchPauseFar))
+	a := &agentClient{stop: stop, sameDataCentre: sameDataCentre, client: rpc.NewClient(address)}
+	a.pause.Store(int64(remoteWatchPause))
 	s.agents[address] = a
 	go a.run(ctx)
 	return a
 }
 
 // setPauses divides the watch rate that an entry can afford among its agents.
-func (s *servers) setPauses(near, far int) {
-	nearPause, farPause := watchPauses(near, far)
+func (s *servers) setPauses(local, remote int) {
+	localPause, remotePause := watchPauses(local, remote)
 	for _, agent := range s.agents {
 		if agent.sameDataCentre {
-			agent.pause.Store(int64(nearPause))
+			agent.pause.Store(int64(localPause))
 		} else {
-			agent.pause.Store(int64(farPause))
+			agent.pause.Store(int64(remotePause))
 		}
 	}
 }
 
 // watchPauses returns the pauses between two watch replies of an agent, in the local data
 // centre and in other data centres, given the number of agents in each.
-func watchPauses(near, far int) (nearPause, farPause time.Duration) {
-	return max(watchPause, time.Duration(near)*time.Second/maxNearWatchRate), max(watchPauseFar, time.Duration(far)*time.Second/maxFarWatchRate)
+func watchPauses(local, remote int) (localPause, remotePause time.Duration) {
+	return max(watchPause, time.Duration(local)*time.Second/maxLocalWatchRate), max(remoteWatchPause, time.Duration(remote)*time.Second/maxRemoteWatchRate)
 }
 
 // agentClient is the client of one agent.
@@ -82,16 +82,16 @@
 const (
 	watchWait    = 500 * time.Millisecond
 	watchTimeout = watchWait + 500*time.Millisecond
-	// watchPause batches changes that occur within it. State of engines in other data centres,
+	// watchPause batches changes that occur within it. The state of engines in other data centres,
 	// which get little of this entry's load, may be older, because traffic between data centres
 	// is expensive.
-	watchPause    = 80 * time.Millisecond
-	watchPauseFar = 250 * time.Millisecond
-	// maxNearWatchRate and maxFarWatchRate limit the watch replies per second of all agents
+	watchPause       = 80 * time.Millisecond
+	remoteWatchPause = 250 * time.Millisecond
+	// maxLocalWatchRate and maxRemoteWatchRate limit the watch replies per second of all agents
 	// together, in the local data centre and in the others. Each reply costs both ends about
 	// 0.1 ms, so watching takes less than 2% of a core regardless of the number of engines.
-	maxNearWatchRate = 100
-	maxFarWatchRate  = 60
+	maxLocalWatchRate  = 100
+	maxRemoteWatchRate = 60
 )
 
 // watchBackoff is the backoff after a failed watch. The pause that follows from the agent's
@@ -217,27 +217,27 @@
 	}
 }
 
-// notifyBegun notifies the agent that a request has produced its first event.
-func (a *agentClient) notifyBegun(id string, try int) {
-	a.notify(wire.MethodStartFirstEvent, wire.StartDone{ID: id, Attempt: try})
+// notifyFirstEvent notifies the agent that a request has produced its first event.
+func (a *agentClient) notifyFirstEvent(id string, attempt int) {
+	a.notify(wire.MethodStartFirstEvent, wire.StartDone{ID: id, Attempt: attempt})
 }
 
 // notifyDone notifies the agent that a request has ended.
-func (a *agentClient) notifyDone(id string, try int) {
-	a.notify(wire.MethodStartDone, wire.StartDone{ID: id, Attempt: try})
+func (a *agentClient) notifyDone(id string, attempt int) {
+	a.notify(wire.MethodStartDone, wire.StartDone{ID: id, Attempt: attempt})
 }
 
 // notifyEnded notifies the agent that a request has ended, and reports the longest gap of its
 // stream and the gap that the route allows.
-func (a *agentClient) notifyEnded(id string, try int, longest, allowed time.Duration) {
-	a.notify(wire.MethodStartDone, wire.StartDone{ID: id, Attempt: try, PauseMillis: longest.Milliseconds(), AllowedMillis: allowed.Milliseconds()})
+func (a *agentClient) notifyEnded(id string, attempt int, longest, allowed time.Duration) {
+	a.notify(wire.MethodStartDone, wire.StartDone{ID: id, Attempt: attempt, PauseMillis: longest.Milliseconds(), AllowedMillis: allowed.Milliseconds()})
 }
 
 func (a *agentClient) notify(method string, msg wire.StartDone) {
 	go func() {
 		call, cancel := context.WithTimeout(context.Background(), grantMargin)
 		defer cancel()
-		// An agent that misses the notification learns of the end from the engine's reports.
+		// An agent that misses the notification detects the end from the engine's reports.
 		_ = a.client.Call(call, method, msg, &wire.Empty{})
 	}()
 }
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -9,10 +9,10 @@
 	"github.com/rosemarypass/rosemarypass/internal/mesh"
 )
 
-// budget limits the requests that this entry repeats, by service. The limit holds for all
-// entries together without any communication: each entry repeats at most a share of the
-// requests that it received itself, plus its part of the slack, so the sum stays within the
-// limit.
+// budget limits the requests that this entry repeats, by service. The limit applies to
+// all entries together and needs no communication between them: each entry repeats at most a
+// share of the requests that it received itself, plus its part of the slack, so the sum stays
+// within the limit.
 type budget struct {
 	options Options
 	mesh    *mesh.Mesh
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -61,29 +61,30 @@
 // another engine would only request the same adapter from the store again.
 const maxStartWait = 1200 * time.Millisecond
 
-// Callers abandon a stream that shows no event for the longest of these times, as documented
-// for the platform: a fixed time, a multiple of the target, and a multiple of the route's gap.
+// A caller abandons a stream that has delivered no event for its timeout. As documented for the
+// platform, that is the longest of a fixed time, a multiple of the target, and a multiple of the
+// route's gap.
 const (
-	minPatience       = 2 * time.Second
-	patiencePerTarget = 4
-	patiencePerGap    = 8
-	// firstEventReserve is the part of that time which is reserved for the first event after
-	// the start.
+	minCallerTimeout       = 2 * time.Second
+	callerTimeoutPerTarget = 4
+	callerTimeoutPerGap    = 8
+	// firstEventReserve is the part of that timeout that is reserved for the first event
+	// after the start.
 	firstEventReserve = 350 * time.Millisecond
 )
 
 // startDeadline returns the time by which a start must be granted. For a stream that is resumed
-// at another server, the caller's patience counts from its last event.
+// at another server, the caller's timeout counts from the last event.
 func (x *exchange) startDeadline() time.Time {
 	if x.route.Kind != route.KindStream {
 		return x.deadline
 	}
-	patience := max(minPatience, patiencePerTarget*x.route.Target, patiencePerGap*x.route.Gap)
+	timeout := max(minCallerTimeout, callerTimeoutPerTarget*x.route.Target, callerTimeoutPerGap*x.route.Gap)
 	from := x.arrived
 	if x.eventAt.After(from) {
 		from = x.eventAt
 	}
-	deadline := from.Add(patience - firstEventReserve)
+	deadline := from.Add(timeout - firstEventReserve)
 	if deadline.After(x.deadline) {
 		return x.deadline
 	}
--- a/internal/gateway/durations.go
+++ b/internal/gateway/durations.go
@@ -24,23 +24,23 @@
 func (d *durations) record(route string, took time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	usual := d.byRoute[route]
-	if usual == nil {
+	estimate := d.byRoute[route]
+	if estimate == nil {
 		if len(d.byRoute) >= maxDurationRoutes {
 			clear(d.byRoute)
 		}
-		usual = &dispatch.DurationEstimate{}
-		d.byRoute[route] = usual
+		estimate = &dispatch.DurationEstimate{}
+		d.byRoute[route] = estimate
 	}
-	usual.Add(took)
+	estimate.Add(took)
 }
 
 // typicalMax returns the time within which nearly all streams of a route end; 0 while unknown.
 func (d *durations) typicalMax(route string) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if usual := d.byRoute[route]; usual != nil {
-		return usual.UpperBound()
+	if estimate := d.byRoute[route]; estimate != nil {
+		return estimate.UpperBound()
 	}
 	return 0
 }
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -23,7 +23,7 @@
 	version uint64
 
 	tried map[string]bool
-	// tries counts the servers that were tried, sends the servers to which the request was
+	// tries counts the servers to which the request was offered, sends those to which it was
 	// sent, and runs those that may have run it.
 	tries int
 	sends int
@@ -52,7 +52,7 @@
 	streamHeader http.Header
 }
 
-// step is the action that follows a try.
+// step is the action that follows an offer to a server.
 type step uint8
 
 const (
@@ -131,31 +131,31 @@
 // tryServer offers the request to one server. If it returns no reply, the step says whether
 // another server may be tried.
 func (x *exchange) tryServer() (*reply, step) {
-	v, seen := x.choose()
+	v, candidate := x.choose()
 	if v == nil && x.runs == 0 {
 		chosen := func() bool {
-			v, seen = x.choose()
+			v, candidate = x.choose()
 			return v != nil
 		}
 		x.startupQueue.await(x.ctx, x.startDeadline().Add(-minRemaining), chosen)
 	}
-	x.candidate = seen
+	x.candidate = candidate
 	if v == nil {
 		x.lastReason, x.retryDelay = "no backend server of the service is there", x.serversRetryAfter()
 		return nil, stepFail
 	}
-	if left := time.Until(x.startDeadline()); seen.Residence == dispatch.Absent && x.call.Adapter != "" && seen.Delay+seen.LoadTime > left {
-		x.lastReason, x.retryDelay = "the adapter cannot be brought while its caller waits", seen.LoadTime
+	if left := time.Until(x.startDeadline()); candidate.Residence == dispatch.Absent && x.call.Adapter != "" && candidate.Delay+candidate.LoadTime > left {
+		x.lastReason, x.retryDelay = "the adapter cannot be brought while its caller waits", candidate.LoadTime
 		return nil, stepFail
 	}
-	if seen.Delay > time.Until(x.startDeadline()) {
-		x.lastReason, x.retryDelay = "the queues of all engines are longer than its caller waits", seen.Delay
+	if candidate.Delay > time.Until(x.startDeadline()) {
+		x.lastReason, x.retryDelay = "the queues of all engines are longer than its caller waits", candidate.Delay
 		return nil, stepFail
 	}
 	x.tried[v.entry.ID] = true
-	asked := time.Now()
+	requestedAt := time.Now()
 	granted, ok := x.start(v)
-	x.waited += time.Since(asked)
+	x.waited += time.Since(requestedAt)
 	if !ok {
 		return nil, stepRetry
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -291,7 +291,7 @@
 // that stops.
 const minRetryAfter = 250 * time.Millisecond
 
-// refuse answers that the request has not run and never will.
+// refuse returns the answer to a request that has not run and will not run.
 func (g *Gateway) refuse(call *Call, reason string, after time.Duration) answer.Answer {
 	refusedCount.Add(1)
 	g.log.Info("request refused", zap.String("request", call.ID), zap.String("reason", reason), zap.Duration("retryAfter", after))
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -220,7 +220,7 @@
 	}
 	g.strikes.settle(now)
 	if !g.strikes.refused(call) {
-		t.Error("three servers ended while running the request and it is not refused")
+		t.Error("the request is not refused although three servers ended while running it")
 	}
 	other := *call
 	other.Body = []byte("other")
@@ -238,55 +238,55 @@
 		arrived: now.Add(-10 * time.Second), deadline: now.Add(20 * time.Second),
 	}
 	if !x.startDeadline().Before(now) {
-		t.Error("a request without an event for 10 s may still start")
+		t.Error("a request that has had no event for 10 s may still start")
 	}
 	x.eventAt = now.Add(-100 * time.Millisecond)
-	if by := x.startDeadline(); !by.After(now) || by.After(x.deadline) {
-		t.Errorf("a stream with an event 100 ms ago may start until %s from now", by.Sub(now))
+	if deadline := x.startDeadline(); !deadline.After(now) || deadline.After(x.deadline) {
+		t.Errorf("a stream with an event 100 ms ago may start until %s from now", deadline.Sub(now))
 	}
 	x.deadline = now.Add(time.Second)
-	if by := x.startDeadline(); by.After(x.deadline) {
-		t.Error("it may start after its deadline")
+	if deadline := x.startDeadline(); deadline.After(x.deadline) {
+		t.Error("a stream may start after the deadline of its request")
 	}
 }
 
 // Every entry watches every agent. The cost must not grow with the size of the deployment, and
 // in a small deployment the state must stay fresh.
 func TestWatchPausesBoundTotalRate(t *testing.T) {
-	tests := []struct{ near, far int }{{0, 0}, {5, 13}, {12, 38}, {150, 450}}
+	tests := []struct{ local, remote int }{{0, 0}, {5, 13}, {12, 38}, {150, 450}}
 	for _, test := range tests {
-		nearPause, farPause := watchPauses(test.near, test.far)
-		if nearPause < watchPause || farPause < watchPauseFar {
-			t.Errorf("%+v are watched every %s and %s", test, nearPause, farPause)
+		localPause, remotePause := watchPauses(test.local, test.remote)
+		if localPause < watchPause || remotePause < remoteWatchPause {
+			t.Errorf("%+v are watched every %s and %s", test, localPause, remotePause)
 		}
-		answers := float64(test.near)/nearPause.Seconds() + float64(test.far)/farPause.Seconds()
-		if answers > maxNearWatchRate+maxFarWatchRate+1 {
-			t.Errorf("%+v answer %.0f times a second, the bound is %d", test, answers, maxNearWatchRate+maxFarWatchRate)
+		answers := float64(test.local)/localPause.Seconds() + float64(test.remote)/remotePause.Seconds()
+		if answers > maxLocalWatchRate+maxRemoteWatchRate+1 {
+			t.Errorf("%+v answer %.0f times a second, the bound is %d", test, answers, maxLocalWatchRate+maxRemoteWatchRate)
 		}
 	}
-	if nearPause, farPause := watchPauses(5, 13); nearPause != watchPause || farPause != watchPauseFar {
-		t.Errorf("a small deployment's agents are watched every %s and %s", nearPause, farPause)
+	if localPause, remotePause := watchPauses(5, 13); localPause != watchPause || remotePause != remoteWatchPause {
+		t.Errorf("a small deployment's agents are watched every %s and %s", localPause, remotePause)
 	}
 }
 
 // All agents of a large fleet restart at once. Failed watches must not be retried more often
-// than answered ones are repeated, and must back off: otherwise the load keeps the agents from
-// coming up.
-func TestFailedWatchKeepsToItsRate(t *testing.T) {
+// than successful ones are repeated, and must back off: otherwise the load keeps the agents from
+// starting.
+func TestFailedWatchRespectsRate(t *testing.T) {
 	for _, engines := range []int{18, 600} {
 		pause, _ := watchPauses(engines, 0)
 		tries := 0
 		for at := time.Duration(0); at < time.Minute; tries++ {
 			at += retryPause(pause, at, 0.5)
 		}
-		if most := int(time.Minute / pause); tries > most || tries > 600/2 {
-			t.Errorf("one of %d agents was tried %d times in a minute, its share of the watch rate is %d", engines, tries, most)
+		if limit := int(time.Minute / pause); tries > limit || tries > 600/2 {
+			t.Errorf("one of %d agents was watched %d times in a minute, want at most %d", engines, tries, limit)
 		}
 	}
 }
 
 // The agent's reply to a start request is lost. The request goes to another server and the
-// agent must be notified; otherwise it keeps a slot for a request that never comes.
+// agent must be notified; otherwise it reserves a slot for a request that never arrives.
 func TestLostAdmitReplyReleasesStart(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -318,7 +318,7 @@
 	select {
 	case in := <-notified:
 		if in.ID != "7" || in.Attempt != 2 {
-			t.Errorf("the agent was notified of %+v", in)
+			t.Errorf("the agent was notified of %+v, want ID 7 and attempt 2", in)
 		}
 	case <-t.Context().Done():
 		t.Error("the agent was not notified")
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -75,12 +75,12 @@
 	if x.isStream(r) {
 		return x.openStream(r)
 	}
-	return x.openWhole(r)
+	return x.openBuffered(r)
 }
 
-// openWhole buffers the answer until it is complete: an answer that breaks off must not look
+// openBuffered buffers the answer until it is complete: an answer that breaks off must not look
 // complete, and until then another server can still be tried.
-func (x *exchange) openWhole(r *reply) (answer.Answer, step) {
+func (x *exchange) openBuffered(r *reply) (answer.Answer, step) {
 	defer r.release()
 	body, err := io.ReadAll(io.LimitReader(r.response.Body, maxAnswer+1))
 	if err != nil || len(body) > maxAnswer {
@@ -94,8 +94,8 @@
 	return answer.Full(r.response.Status, r.header(), body), stepDone
 }
 
-// openStream waits for the first events: until then the stream of another server can take the
-// place of this one.
+// openStream waits for the first events: until they arrive, the request can still be retried at
+// another server.
 func (x *exchange) openStream(r *reply) (answer.Answer, step) {
 	events, err := r.read()
 	if len(events) == 0 && err != nil && err != io.EOF {
@@ -248,19 +248,19 @@
 	}
 	for {
 		n, err := r.response.Body.Read(r.chunk)
-		whole := r.events.add(r.chunk[:n])
-		r.gotEvent = r.gotEvent || len(whole) > 0
+		complete := r.events.add(r.chunk[:n])
+		r.gotEvent = r.gotEvent || len(complete) > 0
 		if err == io.EOF && !r.response.Framed && r.isEventStream() && (r.events.partial() || !r.gotEvent) {
-			return whole, io.ErrUnexpectedEOF
+			return complete, io.ErrUnexpectedEOF
 		}
 		if err == io.EOF {
-			return append(whole, r.events.rest()...), io.EOF
+			return append(complete, r.events.rest()...), io.EOF
 		}
 		if err == nil && len(r.events.rest()) > r.maxBuffered() {
 			err = errEventTooLarge
 		}
-		if err != nil || len(whole) > 0 {
-			return whole, err
+		if err != nil || len(complete) > 0 {
+			return complete, err
 		}
 	}
 }
@@ -310,15 +310,15 @@
 	if end == 0 {
 		return nil
 	}
-	whole := bytes.Clone(b.buf[:end])
+	complete := bytes.Clone(b.buf[:end])
 	b.buf = append(b.buf[:0], b.buf[end:]...)
-	b.recordID(whole)
-	return whole
+	b.recordID(complete)
+	return complete
 }
 
 // recordID records the ID of the last event.
-func (b *eventBuffer) recordID(whole []byte) {
-	for line := range bytes.Lines(whole) {
+func (b *eventBuffer) recordID(events []byte) {
+	for line := range bytes.Lines(events) {
 		if value, found := bytes.CutPrefix(line, idField); found {
 			b.id = string(bytes.TrimSpace(value))
 		}
--- a/internal/gateway/release_test.go
+++ b/internal/gateway/release_test.go
@@ -70,11 +70,11 @@
 	g := New(Options{AgentPort: "1", RepeatRatio: 0.2, RepeatSlack: 20}, plainEdge{}, m, zap.NewNop())
 	documents.Apply(document.State{Index: 1, Version: 1, Body: []byte("{}")}, "test")
 	documents.Confirm()
-	var asked atomic.Int64
+	var requests atomic.Int64
 	for i := range 4 {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Id", r.Header.Get("Id"))
-			handlers[min(int(asked.Add(1)), len(handlers))-1](w, r)
+			handlers[min(int(requests.Add(1)), len(handlers))-1](w, r)
 		}))
 		t.Cleanup(server.Close)
 		announced := roster.Server{ID: fmt.Sprint("s", i), Born: 1, Sequence: 1, Service: "desk", Address: server.Listener.Addr().String(), Slots: 8}
--- a/internal/gateway/result.go
+++ b/internal/gateway/result.go
@@ -109,7 +109,7 @@
 	if x.eventAt.IsZero() {
 		x.first = now.Sub(x.arrived)
 		if x.grantedBy != nil {
-			x.grantedBy.notifyBegun(x.call.ID, x.starts)
+			x.grantedBy.notifyFirstEvent(x.call.ID, x.starts)
 		}
 	} else {
 		x.longestGap = max(x.longestGap, now.Sub(x.eventAt))
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -118,8 +118,8 @@
 
 // mayRetry reports whether a request that may have run can be sent again.
 func (x *exchange) mayRetry() bool {
-	fate := retry.Failure{Outcome: outcome.Unknown, Idempotent: x.route.Idempotent(), Attempts: x.runs, MaxAttempts: max(x.route.Attempts, 1)}
-	return fate.Refusal() == retry.ReasonNone
+	failure := retry.Failure{Outcome: outcome.Unknown, Idempotent: x.route.Idempotent(), Attempts: x.runs, MaxAttempts: max(x.route.Attempts, 1)}
+	return failure.Refusal() == retry.ReasonNone
 }
 
 // handleNotRun handles an answer in which the server states that it did not run the request.
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -83,7 +83,7 @@
 			known.agent.resetHeld()
 		}
 	}
-	followed := make(map[*agentClient]bool)
+	watched := make(map[*agentClient]bool)
 	s.byService = make(map[string][]*server)
 	for _, id := range slices.Sorted(maps.Keys(s.byID)) {
 		known := s.byID[id]
@@ -91,22 +91,22 @@
 			delete(s.byID, id)
 			continue
 		}
-		followed[known.agent] = true
+		watched[known.agent] = true
 		s.byService[known.entry.Service] = append(s.byService[known.entry.Service], known)
 	}
-	near, far := 0, 0
+	local, remote := 0, 0
 	for address, agent := range s.agents {
 		switch {
-		case !followed[agent]:
+		case !watched[agent]:
 			agent.stop()
 			delete(s.agents, address)
 		case agent.sameDataCentre:
-			near++
+			local++
 		default:
-			far++
+			remote++
 		}
 	}
-	s.setPauses(near, far)
+	s.setPauses(local, remote)
 }
 
 func hasEngine(table *route.Table, service string) bool {
--- a/internal/gateway/startup_queue.go
+++ b/internal/gateway/startup_queue.go
@@ -8,7 +8,7 @@
 	"github.com/rosemarypass/rosemarypass/coord/startup"
 )
 
-// startupQueue holds requests that wait for state that this entry does not have yet after its
+// startupQueue holds requests while this entry lacks state that it receives shortly after its
 // start.
 type startupQueue struct {
 	options startup.Options
@@ -17,7 +17,7 @@
 	mu      sync.Mutex
 	waiting int
 	// wake is closed and replaced when the waiting requests should check again; nil while none
-	// waits.
+	// is waiting.
 	wake chan struct{}
 }
 
@@ -35,8 +35,8 @@
 	return &startupQueue{options: startup.Options{Settle: settleHeartbeats * heartbeat, MaxWaiting: startupQueueSize}, started: time.Now()}
 }
 
-// await returns true as soon as ready does, and false when the request is to be refused. A
-// change after latest comes too late for the request.
+// await returns true as soon as ready does, and false when the request must be refused. It waits
+// no longer than until latest, after which the request could not be served in time.
 func (q *startupQueue) await(ctx context.Context, latest time.Time, ready func() bool) bool {
 	until, ok := q.enter(latest)
 	if !ok {
--- a/internal/gateway/startup_queue_test.go
+++ b/internal/gateway/startup_queue_test.go
@@ -17,36 +17,36 @@
 	"github.com/rosemarypass/rosemarypass/internal/mesh"
 )
 
-// patienceEdge reads only how long a caller waits.
-type patienceEdge struct{}
+// maxWaitEdge reads only how long a caller waits.
+type maxWaitEdge struct{}
 
-func (patienceEdge) Parse(r *http.Request) Call {
-	millis, _ := strconv.Atoi(r.Header.Get("Patience"))
+func (maxWaitEdge) Parse(r *http.Request) Call {
+	millis, _ := strconv.Atoi(r.Header.Get("Max-Wait"))
 	return Call{ID: "r", Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: http.Header{}, MaxWait: time.Duration(millis) * time.Millisecond}
 }
-func (patienceEdge) Forward(*Call, Hop) http.Header    { return http.Header{} }
-func (patienceEdge) Classify(int, http.Header) Verdict { return Verdict{Signed: true} }
-func (patienceEdge) IDHeader() string                  { return "Request-Id" }
-func decodeEmpty([]byte) (*route.Document, error)      { return &route.Document{}, nil }
+func (maxWaitEdge) Forward(*Call, Hop) http.Header    { return http.Header{} }
+func (maxWaitEdge) Classify(int, http.Header) Verdict { return Verdict{Signed: true} }
+func (maxWaitEdge) IDHeader() string                  { return "Request-Id" }
+func decodeEmpty([]byte) (*route.Document, error)     { return &route.Document{}, nil }
 
 // serve sends one request and returns how long the answer took.
-func serve(g *Gateway, patience time.Duration) (*httptest.ResponseRecorder, time.Duration) {
+func serve(g *Gateway, maxWait time.Duration) (*httptest.ResponseRecorder, time.Duration) {
 	r := httptest.NewRequest(http.MethodGet, "/x/", nil)
-	r.Header.Set("Patience", strconv.FormatInt(patience.Milliseconds(), 10))
+	r.Header.Set("Max-Wait", strconv.FormatInt(maxWait.Milliseconds(), 10))
 	w := httptest.NewRecorder()
-	from := time.Now()
+	start := time.Now()
 	g.ServeHTTP(w, r)
-	return w, time.Since(from)
+	return w, time.Since(start)
 }
 
 // All entries restart, and requests arrive before the configuration, or while it may be
-// outdated. They must wait as long as their callers can still come back in time; an entry
-// that has been up for long refuses them at once.
+// outdated. They must wait as long as their callers can still retry in time afterwards. An
+// entry that has been up for long must refuse them at once.
 func TestStartupWaitForConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		documents := mesh.NewDocuments(decodeEmpty, zap.NewNop())
 		m := mesh.New(mesh.Options{Self: mesh.Process{Address: "127.0.0.1:1", Entry: true}}, documents, zap.NewNop())
-		g := New(Options{Heartbeat: time.Second}, patienceEdge{}, m, zap.NewNop())
+		g := New(Options{Heartbeat: time.Second}, maxWaitEdge{}, m, zap.NewNop())
 		if w, took := serve(g, 600*time.Millisecond); w.Code != http.StatusServiceUnavailable || took != 200*time.Millisecond || w.Header().Get("Retry-After") == "" {
 			t.Errorf("without a configuration: got %d after %v", w.Code, took)
 		}
@@ -63,7 +63,7 @@
 	})
 	synctest.Test(t, func(t *testing.T) {
 		m := mesh.New(mesh.Options{Self: mesh.Process{Address: "127.0.0.1:1", Entry: true}}, mesh.NewDocuments(decodeEmpty, zap.NewNop()), zap.NewNop())
-		g := New(Options{Heartbeat: time.Second}, patienceEdge{}, m, zap.NewNop())
+		g := New(Options{Heartbeat: time.Second}, maxWaitEdge{}, m, zap.NewNop())
 		time.Sleep(settleHeartbeats * time.Second)
 		if w, took := serve(g, 6*time.Second); w.Code != http.StatusServiceUnavailable || took != 0 {
 			t.Errorf("an entry that has been up for long answered %d after %v", w.Code, took)
@@ -96,7 +96,7 @@
 			t.Errorf("%d of %d requests ended after their callers left", ended.Load(), startupQueueSize)
 		}
 		if !q.await(t.Context(), time.Now().Add(time.Minute), func() bool { return true }) {
-			t.Error("no request waits and the queue is full")
+			t.Error("the queue refuses a request although none is waiting")
 		}
 		time.Sleep(2 * recheckInterval)
 	})
--- a/internal/sidecar/calls.go
+++ b/internal/sidecar/calls.go
@@ -21,7 +21,7 @@
 func (s *Sidecar) Handlers() map[string]rpc.Handler {
 	return map[string]rpc.Handler{
 		wire.MethodStartAdmit:      rpc.Typed(s.admit),
-		wire.MethodStartFirstEvent: rpc.Typed(s.begun),
+		wire.MethodStartFirstEvent: rpc.Typed(s.firstEvent),
 		wire.MethodStartDone:       rpc.Typed(s.done),
 		wire.MethodStartWatch:      rpc.Typed(s.watch),
 	}
@@ -60,10 +60,10 @@
 		return
 	}
 	now := time.Now()
-	if before, known := l.tries[in.ID]; known {
-		l.release(in.ID, before)
+	if previous, known := l.attempts[in.ID]; known {
+		l.release(in.ID, previous)
 	}
-	l.waiters[in.ID], l.tries[in.ID] = reply, in.Attempt
+	l.waiters[in.ID], l.attempts[in.ID] = reply, in.Attempt
 	if in.Version > 0 {
 		l.perform(l.table.VersionAnnounced(in.Adapter, in.Version, now))
 	}
@@ -80,14 +80,14 @@
 // reasonCancelled is the reason for refusing a start that is no longer wanted.
 const reasonCancelled = "cancelled"
 
-// release ends a start. The end of an earlier try may arrive after the next try, which can be
-// at the same agent when its engine has restarted; it must not release the next try's hold on
-// its adapter.
-func (l *loop) release(id string, try int) {
-	if current, known := l.tries[id]; !known || current != try {
+// release ends a start. The end of an earlier attempt may arrive after the next attempt, which
+// can be at the same agent when its engine has restarted; it must not release the reference of
+// the next attempt to its adapter.
+func (l *loop) release(id string, attempt int) {
+	if current, known := l.attempts[id]; !known || current != attempt {
 		return
 	}
-	delete(l.tries, id)
+	delete(l.attempts, id)
 	l.answer(id, wire.StartReply{Reason: reasonCancelled})
 	l.perform(l.table.Cancel(id, time.Now()))
 }
@@ -101,10 +101,10 @@
 	})
 }
 
-func (s *Sidecar) begun(_ context.Context, in wire.StartDone) (wire.Empty, error) {
+func (s *Sidecar) firstEvent(_ context.Context, in wire.StartDone) (wire.Empty, error) {
 	now := time.Now()
 	return wire.Empty{}, s.submit(func(l *loop) {
-		if l.tries[in.ID] == in.Attempt {
+		if l.attempts[in.ID] == in.Attempt {
 			l.table.FirstEvent(in.ID, now)
 		}
 	})
--- a/internal/sidecar/engine.go
+++ b/internal/sidecar/engine.go
@@ -13,7 +13,7 @@
 type Engine interface {
 	// Report returns the engine's current state.
 	Report(ctx context.Context) (Report, error)
-	// Order gives an order; the result says how far it got.
+	// Order sends an order and returns how far the engine has carried it out.
 	Order(ctx context.Context, order Order) (OrderResult, error)
 }
 
--- a/internal/sidecar/orders.go
+++ b/internal/sidecar/orders.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// modelToLoad returns the model that can be loaded without asking for a permit: the one that
-// was permitted, or the only one there is when the engine keeps a copy of it. The latter does
+// modelToLoad returns the model that can be loaded without a further permit: the permitted one,
+// or, if there is only one and the engine keeps a copy of it on disk, that one. The latter does
 // not wait for the configuration, which arrives later after a power loss.
 func (l *loop) modelToLoad() string {
 	switch {
@@ -63,7 +63,7 @@
 var permitBackoff = backoff.Options{Initial: idlePoll / 2, Max: 2 * time.Second}
 
 // orderBackoff is the backoff of an order that is not answered, measured from the start of one
-// try to the start of the next.
+// attempt to the start of the next.
 var orderBackoff = backoff.Options{Initial: orderTimeout, Max: 500 * time.Millisecond}
 
 // requestPermit requests a permit outside the event loop; the reply arrives through the queue
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -86,9 +86,10 @@
 	sequence    int64
 	token       int64
 	waiters     map[string]chan<- wire.StartReply
-	// tries holds the try of each request that has a start or waits for one, by request ID.
-	tries  map[string]int
-	orders []Order
+	// attempts holds the attempt number of each request that has a start or waits for one, by
+	// request ID.
+	attempts map[string]int
+	orders   []Order
 	// unanswered is the order with an unknown outcome.
 	unanswered *Order
 	// orderFailures tracks how long orders have gone unanswered.
@@ -139,7 +140,7 @@
 // Run runs the agent until ctx ends.
 func (s *Sidecar) Run(ctx context.Context) {
 	l := &loop{
-		Sidecar: s, token: time.Now().UnixMilli(), waiters: make(map[string]chan<- wire.StartReply), tries: make(map[string]int),
+		Sidecar: s, token: time.Now().UnixMilli(), waiters: make(map[string]chan<- wire.StartReply), attempts: make(map[string]int),
 		table:   residency.New(residency.Options{Queue: 1}),
 		reports: make(chan reportResult, 1), orderReplies: make(chan orderReply, 1), loads: make(map[string]pendingLoad), loadTime: initialLoadTime,
 	}
@@ -234,18 +235,18 @@
 	l.report, l.known = report, true
 	l.recordLoads(now)
 	l.cached.Update(slices.Collect(maps.Keys(report.Adapters)))
-	l.dropEndedTries()
+	l.dropEndedAttempts()
 	if !l.orderPending {
 		l.sequence = report.Sequence
 	}
 	if report.Leaving {
 		l.perform(l.table.Leave())
 	}
-	runs := make(map[string]bool, len(report.RunningIDs))
+	running := make(map[string]bool, len(report.RunningIDs))
 	for _, id := range report.RunningIDs {
-		runs[id] = true
+		running[id] = true
 	}
-	l.perform(l.table.Apply(residency.Report{Held: report.Adapters, Loading: report.Loading, Running: runs, Waiting: report.Waiting, RequestedAt: r.sentAt}, now))
+	l.perform(l.table.Apply(residency.Report{Held: report.Adapters, Loading: report.Loading, Running: running, Waiting: report.Waiting, RequestedAt: r.sentAt}, now))
 	l.ensureModel(ctx, now)
 }
 
@@ -268,11 +269,12 @@
 	}
 }
 
-// dropEndedTries removes the tries of requests whose end was not reported to the agent.
-func (l *loop) dropEndedTries() {
-	for id := range l.tries {
+// dropEndedAttempts removes the attempts of requests that have ended without the agent being
+// notified.
+func (l *loop) dropEndedAttempts() {
+	for id := range l.attempts {
 		if l.waiters[id] == nil && !l.table.Started(id) {
-			delete(l.tries, id)
+			delete(l.attempts, id)
 		}
 	}
 }
@@ -300,7 +302,7 @@
 		case residency.Start:
 			l.answer(a.ID, wire.StartReply{Start: true, Version: a.Version})
 		case residency.Refuse:
-			delete(l.tries, a.ID)
+			delete(l.attempts, a.ID)
 			l.log.Info("start refused", zap.String("request", a.ID), zap.String("reason", string(a.Reason)))
 			l.answer(a.ID, wire.StartReply{Reason: string(a.Reason)})
 		case residency.Load:
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -38,23 +38,23 @@
 	models      []string
 	onDisk      []string
 	adapters    map[string]int64
-	coming      map[string]int64
+	loading     map[string]int64
 	orders      []Order
 	silent      bool
-	// resetOrders makes all orders fail at once with an unknown outcome; tries counts the
-	// orders.
+	// resetOrders makes all orders fail at once with an unknown outcome; orderCalls counts
+	// the orders.
 	resetOrders bool
-	tries       int
-	// staleTry is the try that receives the late copy of an earlier order's answer and is
-	// itself lost.
-	staleTry int
-	// lose, if set, decides whether an order gets no answer, and after which delay it is
+	orderCalls  int
+	// staleCall is the number of the order that receives the late copy of an earlier order's
+	// answer and is itself lost.
+	staleCall int
+	// loseReply, if set, decides whether an order gets no answer, and after which delay it is
 	// carried out.
-	lose func() (bool, time.Duration)
+	loseReply func() (bool, time.Duration)
 }
 
 func newFakeEngine(t *testing.T) *fakeEngine {
-	return &fakeEngine{t: t, born: 1, models: []string{"m"}, adapters: make(map[string]int64), coming: make(map[string]int64)}
+	return &fakeEngine{t: t, born: 1, models: []string{"m"}, adapters: make(map[string]int64), loading: make(map[string]int64)}
 }
 
 func (e *fakeEngine) Report(ctx context.Context) (Report, error) {
@@ -66,23 +66,23 @@
 		e.mu.Lock()
 		return Report{}, ctx.Err()
 	}
-	return Report{Born: e.born, Sequence: e.sequence, Models: e.models, OnDisk: e.onDisk, Adapters: maps.Clone(e.adapters), Loading: maps.Clone(e.coming)}, nil
+	return Report{Born: e.born, Sequence: e.sequence, Models: e.models, OnDisk: e.onDisk, Adapters: maps.Clone(e.adapters), Loading: maps.Clone(e.loading)}, nil
 }
 
 func (e *fakeEngine) Order(ctx context.Context, o Order) (OrderResult, error) {
 	e.mu.Lock()
-	e.tries++
+	e.orderCalls++
 	if e.resetOrders {
 		defer e.mu.Unlock()
 		return OrderUnknown, errors.New("the connection was reset")
 	}
-	if e.staleTry > 0 && e.tries == e.staleTry {
+	if e.staleCall > 0 && e.orderCalls == e.staleCall {
 		defer e.mu.Unlock()
 		return OrderAccepted, nil
 	}
 	lost, delay := e.lostReplies > 0, e.lostDelay
-	if e.lose != nil {
-		lost, delay = e.lose()
+	if e.loseReply != nil {
+		lost, delay = e.loseReply()
 	}
 	if lost {
 		e.lostReplies--
@@ -115,16 +115,16 @@
 		delete(e.adapters, name)
 		return OrderDone
 	}
-	e.coming[name] = o.Version
-	if len(e.adapters)+len(e.coming) > testSlots {
-		e.t.Errorf("the engine was ordered to hold %v and %v in %d slots", e.adapters, e.coming, testSlots)
+	e.loading[name] = o.Version
+	if len(e.adapters)+len(e.loading) > testSlots {
+		e.t.Errorf("the engine was ordered to hold %v and %v in %d slots", e.adapters, e.loading, testSlots)
 	}
 	born := e.born
 	time.AfterFunc(loadTime, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		if e.born == born {
-			delete(e.coming, name)
+			delete(e.loading, name)
 			e.adapters[name] = o.Version
 		}
 	})
@@ -186,10 +186,10 @@
 	runAgentUnconfirmed(t, e, Options{}, []route.Model{{Name: "m"}}, func(t *testing.T, s *Sidecar, documents *mesh.Documents) {
 		time.Sleep(time.Second)
 		if reply, err := s.admit(t.Context(), wire.StartRequest{ID: "r1", Adapter: "m/a", Prompt: 10, Tokens: 20, WaitMillis: 500}); err != nil || reply.Start {
-			t.Errorf("it starts a request before the configuration is confirmed: %+v, %v", reply, err)
+			t.Errorf("a request was started before the configuration was confirmed: %+v, %v", reply, err)
 		}
 		if orders := e.accepted(); len(orders) != 0 {
-			t.Errorf("it gives orders before the configuration is confirmed: %+v", orders)
+			t.Errorf("orders were given before the configuration was confirmed: %+v", orders)
 		}
 		documents.Confirm()
 		time.Sleep(time.Second)
@@ -282,7 +282,7 @@
 		admit(t, s, "r1", "m/a")
 		e.mu.Lock()
 		e.born, e.sequence, e.models = 2, 0, nil
-		e.adapters, e.coming = make(map[string]int64), make(map[string]int64)
+		e.adapters, e.loading = make(map[string]int64), make(map[string]int64)
 		e.mu.Unlock()
 		time.Sleep(time.Second)
 		if state, _ := s.state.get(); state.Running != 0 {
@@ -352,16 +352,16 @@
 	}
 }
 
-// The first try of a request ends because its engine restarted, and the second one is granted
-// by the same agent. The end of the first try arrives after that; if it counted, the adapter
-// would lose its reference and be unloaded during the second try.
-func TestDoneOfEarlierTryIsIgnored(t *testing.T) {
+// The first attempt of a request ends because its engine restarted, and the second one is granted
+// by the same agent. The end of the first attempt arrives after that; if it counted, the adapter
+// would lose its reference and be unloaded during the second attempt.
+func TestDoneOfEarlierAttemptIsIgnored(t *testing.T) {
 	e := newFakeEngine(t)
 	runAgent(t, e, func(t *testing.T, s *Sidecar) {
-		for try := 1; try <= 2; try++ {
-			reply, err := s.admit(t.Context(), wire.StartRequest{ID: "r1", Attempt: try, Adapter: "m/a", Prompt: 10, Tokens: 20, WaitMillis: 5000})
+		for attempt := 1; attempt <= 2; attempt++ {
+			reply, err := s.admit(t.Context(), wire.StartRequest{ID: "r1", Attempt: attempt, Adapter: "m/a", Prompt: 10, Tokens: 20, WaitMillis: 5000})
 			if err != nil || !reply.Start {
-				t.Fatalf("try %d: %+v, %v", try, reply, err)
+				t.Fatalf("attempt %d: got %+v, %v, want a granted start", attempt, reply, err)
 			}
 		}
 		if _, err := s.done(t.Context(), wire.StartDone{ID: "r1", Attempt: 1}); err != nil {
@@ -369,7 +369,7 @@
 		}
 		synctest.Wait()
 		if state, _ := s.state.get(); state.Running != 1 {
-			t.Errorf("%d requests run, want the second try only", state.Running)
+			t.Errorf("%d requests run, want only the second attempt", state.Running)
 		}
 		if _, err := s.done(t.Context(), wire.StartDone{ID: "r1", Attempt: 2}); err != nil {
 			t.Fatal(err)
@@ -390,12 +390,12 @@
 func TestEmptyEngineLoadsPermittedModel(t *testing.T) {
 	e := newFakeEngine(t)
 	e.models, e.onDisk = nil, []string{"m"}
-	asked := 0
+	requests := 0
 	options := Options{Permit: func(_ context.Context, service string, onDisk []string, _ time.Time) string {
 		if service != "llm" || len(onDisk) != 1 {
 			t.Errorf("permit requested for service %q with %v on disk", service, onDisk)
 		}
-		if asked++; asked < 3 {
+		if requests++; requests < 3 {
 			return ""
 		}
 		return "rare"
@@ -406,8 +406,8 @@
 		if len(orders) != 1 || orders[0].Model != "rare" || orders[0].Adapter != "" {
 			t.Errorf("got orders %+v, want only the load of the permitted model", orders)
 		}
-		if asked != 3 {
-			t.Errorf("a permit was requested %d times, want 3", asked)
+		if requests != 3 {
+			t.Errorf("a permit was requested %d times, want 3", requests)
 		}
 	})
 }
@@ -417,15 +417,15 @@
 func TestFailingOrdersBackOff(t *testing.T) {
 	e := newFakeEngine(t)
 	e.resetOrders = true
-	const wait = 8 * time.Second
+	const duration = 8 * time.Second
 	runAgent(t, e, func(t *testing.T, s *Sidecar) {
-		ctx, cancel := context.WithTimeout(t.Context(), wait)
+		ctx, cancel := context.WithTimeout(t.Context(), duration)
 		defer cancel()
-		_, _ = s.admit(ctx, wire.StartRequest{ID: "1", Adapter: "m/a", WaitMillis: wait.Milliseconds()})
+		_, _ = s.admit(ctx, wire.StartRequest{ID: "1", Adapter: "m/a", WaitMillis: duration.Milliseconds()})
 		<-ctx.Done()
 	})
-	if most := int(wait / orderTimeout); e.tries == 0 || e.tries > most/2 {
-		t.Errorf("%d orders were given in %s; without backoff it would be %d", e.tries, wait, most)
+	if limit := int(duration / orderTimeout); e.orderCalls == 0 || e.orderCalls > limit/2 {
+		t.Errorf("%d orders were given in %s; without backoff it would be %d", e.orderCalls, duration, limit)
 	}
 }
 
@@ -434,19 +434,19 @@
 func TestPermitRequestsBackOff(t *testing.T) {
 	e := newFakeEngine(t)
 	e.models = nil
-	var asked []time.Time
+	var requests []time.Time
 	options := Options{Permit: func(context.Context, string, []string, time.Time) string {
-		asked = append(asked, time.Now())
+		requests = append(requests, time.Now())
 		return ""
 	}}
 	runAgentWith(t, e, options, []route.Model{{Name: "m"}, {Name: "rare"}}, func(t *testing.T, _ *Sidecar) {
 		time.Sleep(time.Minute)
 	})
-	const most = 60
-	if len(asked) < 20 || len(asked) > most {
-		t.Errorf("a permit was requested %d times in a minute, want 20 to %d", len(asked), most)
+	const limit = 60
+	if len(requests) < 20 || len(requests) > limit {
+		t.Errorf("a permit was requested %d times in a minute, want 20 to %d", len(requests), limit)
 	}
-	if last := asked[len(asked)-1].Sub(asked[len(asked)-2]); last < time.Second {
+	if last := requests[len(requests)-1].Sub(requests[len(requests)-2]); last < time.Second {
 		t.Errorf("after a minute a permit is requested every %s", last)
 	}
 }
@@ -454,9 +454,9 @@
 // The late copy of an earlier order's answer is taken for the answer to a load that is lost. No
 // request may start on an adapter that is not loaded, and the adapter must still be loaded.
 func TestStaleOrderReplyStartsNothing(t *testing.T) {
-	for staleTry := 1; staleTry <= 4; staleTry++ {
+	for staleCall := 1; staleCall <= 4; staleCall++ {
 		e := newFakeEngine(t)
-		e.staleTry = staleTry
+		e.staleCall = staleCall
 		runAgent(t, e, func(t *testing.T, s *Sidecar) {
 			for i, adapter := range []string{"m/a", "m/b", "m/c", "m/d"} {
 				id := string(rune('1' + i))
@@ -465,7 +465,7 @@
 				_, held := e.adapters[adapter]
 				e.mu.Unlock()
 				if !reply.Start || !held {
-					t.Errorf("with answer %d stale: start on %s granted %v (%s), adapter held %v", staleTry, adapter, reply.Start, reply.Reason, held)
+					t.Errorf("with answer %d stale: start on %s granted %v (%s), adapter held %v", staleCall, adapter, reply.Start, reply.Reason, held)
 				}
 				if _, err := s.done(t.Context(), wire.StartDone{ID: id}); err != nil {
 					t.Fatal(err)
@@ -482,7 +482,7 @@
 		random, losses := rand.New(rand.NewPCG(seed, 0)), rand.New(rand.NewPCG(seed, 1))
 		e := newFakeEngine(t)
 		// The engine's mu guards losses.
-		e.lose = func() (bool, time.Duration) {
+		e.loseReply = func() (bool, time.Duration) {
 			return losses.IntN(3) == 0, time.Duration(losses.Int64N(int64(150 * time.Millisecond)))
 		}
 		runAgent(t, e, func(t *testing.T, s *Sidecar) {
