--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -53,20 +53,20 @@
 // response from a truncated one by the framing alone, in HTTP/1.0 and HTTP/1.1.
 func TestOnlyCompleteAnswersAreFramedAsComplete(t *testing.T) {
 	tests := []struct {
-		name   string
-		answer answer.Answer
-		none   bool
-		status int
-		body   string
-		whole  bool
+		name       string
+		answer     answer.Answer
+		noResponse bool
+		status     int
+		body       string
+		complete   bool
 	}{
-		{name: "none", none: true},
-		{name: "complete body", answer: answer.Full(http.StatusOK, nil, []byte("body")), status: 200, body: "body", whole: true},
-		{name: "complete body with a wrong length header", answer: answer.Full(http.StatusOK, http.Header{"Content-Length": {"2"}}, []byte("body")), status: 200, body: "body", whole: true},
-		{name: "error text", answer: answer.Text(http.StatusBadGateway, nil, "why"), status: 502, body: "why\n", whole: true},
-		{name: "no content", answer: answer.Full(http.StatusNoContent, nil, nil), status: 204, whole: true},
-		{name: "complete stream", answer: stream(2, answer.Complete(nil)), status: 200, body: "piece piece ", whole: true},
-		{name: "empty stream", answer: stream(0, answer.Complete(nil)), status: 200, whole: true},
+		{name: "none", noResponse: true},
+		{name: "complete body", answer: answer.Full(http.StatusOK, nil, []byte("body")), status: 200, body: "body", complete: true},
+		{name: "complete body with a wrong length header", answer: answer.Full(http.StatusOK, http.Header{"Content-Length": {"2"}}, []byte("body")), status: 200, body: "body", complete: true},
+		{name: "error text", answer: answer.Text(http.StatusBadGateway, nil, "why"), status: 502, body: "why\n", complete: true},
+		{name: "no content", answer: answer.Full(http.StatusNoContent, nil, nil), status: 204, complete: true},
+		{name: "complete stream", answer: stream(2, answer.Complete(nil)), status: 200, body: "piece piece ", complete: true},
+		{name: "empty stream", answer: stream(0, answer.Complete(nil)), status: 200, complete: true},
 		{name: "cut stream", answer: stream(2, answer.Cut), status: 200, body: "piece piece "},
 		{name: "stream cut before its first byte", answer: stream(0, answer.Cut), status: 200},
 	}
@@ -74,11 +74,11 @@
 		for _, test := range tests {
 			t.Run(test.name+" "+proto, func(t *testing.T) {
 				g := request(t, proto, http.MethodGet, func(*http.Request) answer.Answer { return test.answer })
-				if g.noResponse && !test.whole && test.body == "" {
+				if g.noResponse && !test.complete && test.body == "" {
 					// If the answer is cut before the first body byte, the header may be lost too.
 					return
 				}
-				if g.noResponse != test.none || g.status != test.status || g.body != test.body || g.complete != test.whole {
+				if g.noResponse != test.noResponse || g.status != test.status || g.body != test.body || g.complete != test.complete {
 					t.Errorf("got %+v", g)
 				}
 			})
--- a/internal/relay/model_test.go
+++ b/internal/relay/model_test.go
@@ -18,13 +18,13 @@
 		{"empty", "", ""},
 	}
 	for _, c := range cases {
-		got, whole, err := relay.PeekModel(strings.NewReader(c.answer))
+		got, reader, err := relay.PeekModel(strings.NewReader(c.answer))
 		if got != c.want || (err != nil) != (c.want == "") {
 			t.Errorf("%s: %q, %v", c.name, got, err)
 			continue
 		}
 		if err == nil {
-			if data, _ := io.ReadAll(whole); string(data) != c.answer {
+			if data, _ := io.ReadAll(reader); string(data) != c.answer {
 				t.Errorf("%s: relayed %q", c.name, data)
 			}
 		}
@@ -36,11 +36,11 @@
 	f.Add("data: {\"model\":\"a@1\"}\n\ndata: [DONE]\n\n")
 	f.Add(": hello\r\nevent: x\r\ndata:{\"model\":")
 	f.Fuzz(func(t *testing.T, answer string) {
-		_, whole, err := relay.PeekModel(strings.NewReader(answer))
+		_, reader, err := relay.PeekModel(strings.NewReader(answer))
 		if err != nil {
 			return
 		}
-		if data, err := io.ReadAll(whole); err != nil || string(data) != answer {
+		if data, err := io.ReadAll(reader); err != nil || string(data) != answer {
 			t.Errorf("response %q was relayed as %q, %v", answer, data, err)
 		}
 	})
--- a/internal/relay/seal_test.go
+++ b/internal/relay/seal_test.go
@@ -10,17 +10,17 @@
 // told that it did not run. The writer runs a moment later; if its bytes were
 // still sent, the caller's retry would book a second time.
 func TestSealedConnectionRejectsWrites(t *testing.T) {
-	near, far := net.Pipe()
-	defer near.Close()
+	client, server := net.Pipe()
+	defer client.Close()
 	go func() {
 		buffer := make([]byte, 1)
 		for {
-			if _, err := far.Read(buffer); err != nil {
+			if _, err := server.Read(buffer); err != nil {
 				return
 			}
 		}
 	}()
-	conn := &gatedConn{Conn: near}
+	conn := &gatedConn{Conn: client}
 	if _, err := conn.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rpc/carrier_bench_test.go
+++ b/internal/rpc/carrier_bench_test.go
@@ -27,9 +27,9 @@
 
 func BenchmarkCarrierHTTP2(b *testing.B) { benchmarkHTTP(b, new(http.Protocols), true) }
 
-func benchmarkHTTP(b *testing.B, protocols *http.Protocols, two bool) {
-	protocols.SetHTTP1(!two)
-	protocols.SetUnencryptedHTTP2(two)
+func benchmarkHTTP(b *testing.B, protocols *http.Protocols, useHTTP2 bool) {
+	protocols.SetHTTP1(!useHTTP2)
+	protocols.SetUnencryptedHTTP2(useHTTP2)
 	listener := listen(b)
 	server := &http.Server{Handler: http.HandlerFunc(writeTokens), Protocols: protocols}
 	go func() { _ = server.Serve(listener) }()
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -77,11 +77,11 @@
 
 // sampler returns a sampler that follows the sampling decision of the incoming
 // request, and samples requests without one with probability share.
-func sampler(share float64) sdktrace.Sampler {
-	if share == 0 {
-		share = 1
+func sampler(ratio float64) sdktrace.Sampler {
+	if ratio == 0 {
+		ratio = 1
 	}
-	return sdktrace.ParentBased(sdktrace.TraceIDRatioBased(share))
+	return sdktrace.ParentBased(sdktrace.TraceIDRatioBased(ratio))
 }
 
 func newExporter(ctx context.Context, options TraceOptions) (sdktrace.SpanExporter, error) {
--- a/internal/upstream/random_test.go
+++ b/internal/upstream/random_test.go
@@ -276,8 +276,8 @@
 	for seed := range uint64(randomSeeds) {
 		run(seed)
 	}
-	fresh, _ := strconv.Atoi(os.Getenv("DRAWN_SEEDS"))
-	for range fresh {
+	extraSeeds, _ := strconv.Atoi(os.Getenv("DRAWN_SEEDS"))
+	for range extraSeeds {
 		run(rand.Uint64())
 	}
 	for _, kind := range []string{"body truncated", "no response", "delimited by close", "complete, kept", "complete, closed"} {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -153,9 +153,9 @@
 	if _, _, err := call(t, pool, target, "r1"); err != nil {
 		t.Fatal(err)
 	}
-	for _, kept := range pool.idle[target] {
+	for _, c := range pool.idle[target] {
 		// The close arrives some time after the response.
-		for kept.isIdle() {
+		for c.isIdle() {
 			time.Sleep(time.Millisecond)
 		}
 	}
