--- a/internal/follow/config.go
+++ b/internal/follow/config.go
@@ -17,7 +17,7 @@
 //
 // For each object the copy keeps the state with the highest revision, regardless of the order
 // in which changes arrive. Objects are never removed from the configuration, only retired, so a
-// change that is delivered late, twice or by a lagging control instance does no harm.
+// change that is delivered late, twice or by a lagging control instance has no effect.
 type Config struct {
 	mu        sync.RWMutex
 	index     uint64
@@ -102,8 +102,8 @@
 	maps.DeleteFunc(c.suspects, func(_ suspicion.Fingerprint, r suspicion.Record) bool { return !r.Restricted(now) })
 }
 
-// Suspect reports whether the request with this fingerprint is a suspect: it was at a backend
-// server that crashed.
+// Suspect reports whether the request with this fingerprint is a suspect: it was in flight at a
+// backend server that crashed.
 func (c *Config) Suspect(fingerprint suspicion.Fingerprint, now time.Time) bool {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,5 +1,5 @@
 // Package follow keeps a daemon's copy of the configuration and of the directory of backend
-// servers up to date from the control instances, and tracks how far the copy can be relied on.
+// servers up to date from the control instances, and tracks whether the copy is proven fresh.
 package follow
 
 import (
@@ -42,7 +42,7 @@
 	// control. It must not block.
 	OnChange func(*Config)
 	// PollWait is the maximum time that one poll waits for changes. It must be well below
-	// Lease, because each poll brings a new proof of freshness.
+	// Lease, because each poll delivers a new proof of freshness.
 	PollWait time.Duration
 	// RetryDelay is the pause after a failed poll.
 	RetryDelay time.Duration
@@ -63,7 +63,7 @@
 )
 
 // Follower polls control instances, one at a time, and switches to another when a poll fails or
-// when another one can prove more.
+// when only another one is confirmed by a quorum.
 type Follower struct {
 	options Options
 	log     *zap.Logger
@@ -115,8 +115,8 @@
 // instances are lost.
 func (f *Follower) Servers() []membership.Announcement { return *f.servers.Load() }
 
-// Freshness returns what the follower can currently prove. Requests may be admitted under the
-// configuration only while it allows that.
+// Freshness returns how fresh the copy is proven to be. Requests may be admitted under the
+// configuration only while that state allows it.
 func (f *Follower) Freshness() freshness.State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -161,7 +161,8 @@
 	}
 }
 
-// errUnconfirmed is returned when another control instance can prove more.
+// errUnconfirmed is returned when the control instance is not confirmed by a quorum and another
+// one is.
 var errUnconfirmed = errors.New("the control instance has no quorum behind it, another one has")
 
 // followPeer polls one peer until a poll fails. It reports whether the peer had answered
@@ -217,7 +218,7 @@
 	return watch
 }
 
-// apply applies a reply.
+// apply applies the changes and the directory of a reply.
 func (f *Follower) apply(reply wire.WatchReply) error {
 	before := f.config.Index()
 	changes, err := reply.AllChanges()
--- a/internal/follow/probe.go
+++ b/internal/follow/probe.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	// probeInterval is the interval of the checks whether a probe is due.
+	// probeInterval is the interval between two checks whether a probe is due.
 	probeInterval = 250 * time.Millisecond
 	// probeTimeout limits the calls of one probe.
 	probeTimeout = 700 * time.Millisecond
 )
 
-// probeBackoff is the backoff of probes that bring no proof. Polls continue in the meantime,
-// and a control instance that is available again brings a proof with its first answer.
+// probeBackoff is the backoff of probes that yield no proof. Polls continue in the meantime,
+// and a control instance that is available again delivers a proof with its first answer.
 var probeBackoff = backoff.Options{Initial: probeInterval, Max: 4 * time.Second}
 
 var probeCount = telemetry.Counter("follow_probes")
@@ -66,8 +66,8 @@
 	}
 }
 
-// runProbes probes all control instances whenever the followed one has not brought a proof for
-// a while.
+// runProbes probes all control instances whenever the followed one has not delivered a proof
+// for a while.
 func (f *Follower) runProbes(ctx context.Context) {
 	clients := make([]*rpc.Client, len(f.options.Peers))
 	for i, peer := range f.options.Peers {
@@ -77,7 +77,7 @@
 	f.probeLoop(ctx, func() { f.probe(ctx, clients) })
 }
 
-// probeLoop probes whenever a probe is due, with a growing pause while probes bring no proof:
+// probeLoop probes whenever a probe is due, with a growing pause while probes yield no proof:
 // all daemons ask the same few control instances.
 func (f *Follower) probeLoop(ctx context.Context, probe func()) {
 	var failures backoff.Outage
--- a/internal/follow/probe_test.go
+++ b/internal/follow/probe_test.go
@@ -22,7 +22,7 @@
 			t.Fatalf("%d probes in a minute without a proof, want 10 to 80", len(probes))
 		}
 		if last := probes[len(probes)-1].Sub(probes[len(probes)-2]); last < 2*time.Second {
-			t.Errorf("after a minute a probe is sent every %s", last)
+			t.Errorf("after a minute a probe is sent every %s, want at least 2s", last)
 		}
 	})
 }
--- a/internal/follow/rendezvous_test.go
+++ b/internal/follow/rendezvous_test.go
@@ -6,7 +6,7 @@
 )
 
 // A control instance that serves a ninth of all daemons is lost. If they all switched to the
-// same other instance, it would carry twice its share at a critical moment.
+// same other instance, that instance would carry twice its share during the outage.
 func TestRendezvousOrderSpreadsLoad(t *testing.T) {
 	peers := make([]string, 9)
 	for i := range peers {
@@ -22,10 +22,10 @@
 	}
 	for _, peer := range peers {
 		if n := first[peer]; n < 80 || n > 140 {
-			t.Errorf("%s is followed by %d of 970", peer, n)
+			t.Errorf("%s is followed by %d of 970 daemons, want 80 to 140", peer, n)
 		}
 		if n := second[peer]; peer != peers[3] && (n == 0 || n > 30) {
-			t.Errorf("%s takes over %d", peer, n)
+			t.Errorf("%s takes over %d daemons of the lost instance, want 1 to 30", peer, n)
 		}
 	}
 }
--- a/internal/mesh/confirm.go
+++ b/internal/mesh/confirm.go
@@ -43,7 +43,7 @@
 // between rounds that succeed.
 var memberBackoff = backoff.Options{Initial: 30 * time.Millisecond, Max: 500 * time.Millisecond}
 
-// errUnproven means that nothing proves that the held configuration is not stale.
+// errUnproven means that there is no proof that the held configuration is not stale.
 var errUnproven = errors.New("no majority of the log has confirmed the configuration")
 
 // confirmConfig retries until it proves that the held state includes every change that
@@ -136,7 +136,7 @@
 	if !h.prover.prove(ctx) {
 		return pullReply{}, errUnproven
 	}
-	return answerState(in, h.mesh.documents.Current().State), nil
+	return newPullReply(in, h.mesh.documents.Current().State), nil
 }
 
 func (h *logHost) handleStanding(context.Context, standingRequest) (freshness.Standing, error) {
--- a/internal/mesh/follow.go
+++ b/internal/mesh/follow.go
@@ -45,7 +45,7 @@
 	state := m.documents.Current().State
 	reply := pullReply{}
 	if state.Index > in.Index {
-		reply = answerState(in, state)
+		reply = newPullReply(in, state)
 	}
 	reply.Digest, reply.Newest = m.knownDigest(), m.newestIndex()
 	if reply.Digest != in.Digest {
@@ -80,8 +80,8 @@
 }
 
 // needsFirstConfig reports whether this process restarted and holds no configuration yet.
-// Some other process has it on its disk: waiting at one that has none would keep callers
-// waiting as long.
+// Another process has one on its disk. A pull that waits at a process without one would
+// keep callers waiting just as long.
 func (m *Mesh) needsFirstConfig() bool {
 	return !m.options.Bootstrap && m.documents.Current().State.Index == 0
 }
@@ -93,10 +93,10 @@
 	defer client.Close()
 	var digest uint64
 	var cursor listCursor
-	listed := time.Now()
+	listedAt := time.Now()
 	for ctx.Err() == nil && keepGoing() {
-		if time.Since(listed) > relistInterval {
-			digest, cursor, listed = 0, listCursor{}, time.Now()
+		if time.Since(listedAt) > relistInterval {
+			digest, cursor, listedAt = 0, listCursor{}, time.Now()
 		}
 		waitTime := pullWait
 		if m.needsFirstConfig() {
@@ -148,17 +148,17 @@
 
 // pickSource chooses the process to pull from: a random one of those that hold the newest
 // configuration, preferably in the local data centre. In a small deployment processes
-// with a disk are preferred, since they learn of changes sooner; in a large one the
-// members of the log must keep time for each other.
+// with a disk are preferred, since they receive changes sooner; in a large one pulls must
+// not load the members of the log, which would delay their traffic with each other.
 func (m *Mesh) pickSource() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	few := len(m.peers) < overlay.MaxHubs
+	small := len(m.peers) < overlay.MaxHubs
 	best, bestScore := "", -1.0
 	now := time.Now()
 	for address, q := range m.peers {
 		score := rand.Float64()
-		if q.process.Disk && few {
+		if q.process.Disk && small {
 			score++
 		}
 		if q.process.DataCentre == m.options.Self.DataCentre {
--- a/internal/mesh/host.go
+++ b/internal/mesh/host.go
@@ -34,7 +34,7 @@
 )
 
 // logHost runs the local replica of the replicated log, and reopens it after the disk has
-// failed: what the disk then holds decides what the replica may claim.
+// failed: the replica may then rely only on what is still on the disk.
 type logHost struct {
 	mesh   *Mesh
 	prover prover
@@ -121,8 +121,8 @@
 // founders waits until it is decided which processes found the log.
 func (h *logHost) founders(ctx context.Context, self replog.Member) ([]replog.Member, bool) {
 	for h.mesh.options.Bootstrap && ctx.Err() == nil {
-		view, settled := h.foundingView()
-		if settled {
+		view, founded := h.foundingView()
+		if founded {
 			return nil, false
 		}
 		if chosen, found := founding.Decide(view); found {
@@ -137,9 +137,9 @@
 	return nil, false
 }
 
-// foundingView describes the processes that may found the log; settled is true when it is
-// already founded.
-func (h *logHost) foundingView() (view founding.View, settled bool) {
+// foundingView describes the processes that may found the log; founded reports whether
+// the log already exists.
+func (h *logHost) foundingView() (view founding.View, founded bool) {
 	m := h.mesh
 	self := m.Self()
 	view = founding.View{Self: processOf(self), Bootstrap: m.options.Bootstrap, Up: time.Since(h.opened)}
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -97,8 +97,8 @@
 	mu     sync.Mutex
 	peers  map[string]*peer
 	roster *roster.Roster
-	// digest is the sum of the peers' digests; changes counts the changes to what is
-	// known of the peers.
+	// digest is the sum of the peers' digests; changes counts the changes to the
+	// descriptions of the peers.
 	digest  uint64
 	changes uint64
 	// relink is true when the set of peers to greet must be recomputed; linkedAt is when
@@ -107,7 +107,7 @@
 	linkedAt     time.Time
 	linkedDigest uint64
 	// spoke is true when this process is not a hub: the hubs that it greets must forward
-	// to it what they hear.
+	// to it the updates that they receive.
 	spoke bool
 	// heardVia records how each server was last heard of.
 	heardVia map[string]via
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -40,7 +40,7 @@
 		clusters[cluster] = true
 	}
 	if len(clusters) != 1 {
-		t.Errorf("logs = %v, want one", clusters)
+		t.Errorf("the processes belong to logs %v, want one", clusters)
 	}
 }
 
@@ -130,8 +130,9 @@
 	}
 }
 
-// A server tells one entry that it leaves. When this is acknowledged, the other entries
-// must know: a request that one of them still sends would be cut off.
+// A server announces to one entry that it leaves. When the announcement is acknowledged,
+// the other entries must know of it: a request that one of them still sends would be cut
+// off.
 func TestLeaveIsAcknowledgedAfterAllEntriesKnow(t *testing.T) {
 	f := startFleet(t, 1, 2)
 	eventually(t, func() bool {
@@ -249,8 +250,8 @@
 	}
 }
 
-// An entry that reaches none of the others cannot tell them that a server leaves. It must
-// not acknowledge this, so that the server tells another entry.
+// An entry that reaches none of the others cannot notify them that a server leaves. It
+// must not acknowledge the announcement, so that the server tries another entry.
 func TestPartitionedEntryRefusesAnnouncement(t *testing.T) {
 	f := startFleet(t, 1, 2)
 	eventually(t, func() bool {
@@ -293,8 +294,8 @@
 		return f.nodes[0].Documents().Current().State.Index == f.nodes[1].Documents().Current().State.Index
 	})
 	for i := range f.nodes {
-		if in := f.nodes[i].Documents().Current(); in.Table == nil || in.State.Body == nil {
-			t.Errorf("process %d holds %+v", i, in.State)
+		if config := f.nodes[i].Documents().Current(); config.Table == nil || config.State.Body == nil {
+			t.Errorf("process %d holds %+v, want a table and a body", i, config.State)
 		}
 	}
 }
@@ -347,11 +348,11 @@
 	}
 	later := now.Add(4 * time.Second)
 	if got := p.choose(service, []string{"busy", "rare"}, later); got == "" {
-		t.Error("an engine with local copies had to wait for the store")
+		t.Error("no permit for an engine with local copies, which needs no load from the store")
 	}
 	first, second := p.choose(service, nil, later), p.choose(service, nil, later)
 	if third := p.choose(service, nil, later); first != "" && second != "" && third != "" {
-		t.Error("the store got three loads at once at 2 per second")
+		t.Error("three loads from the store were granted at once, want at most 2")
 	}
 }
 
--- a/internal/mesh/messages.go
+++ b/internal/mesh/messages.go
@@ -53,7 +53,7 @@
 	Change      uint64 `json:"change,omitempty"`
 }
 
-// greeting sends a peer what it may not know yet.
+// greeting carries the updates that a peer has not acknowledged.
 type greeting struct {
 	From Process `json:"from"`
 	// Cursor is the position up to which the sender has received the receiver's list.
--- a/internal/mesh/overload_test.go
+++ b/internal/mesh/overload_test.go
@@ -31,7 +31,7 @@
 // The log has no leader for a minute. Processes that wait for a proof must not overload its members with requests: the
 // longer the outage lasts and the more processes there are, the fewer requests each may send.
 func TestProofRetriesBackOff(t *testing.T) {
-	tries := func(processes int) (early, late int) {
+	countRounds := func(processes int) (early, late int) {
 		synctest.Test(t, func(t *testing.T) {
 			m := meshWithPeers(processes - 1)
 			start := time.Now()
@@ -50,13 +50,13 @@
 		})
 		return early, late
 	}
-	smallEarly, smallLate := tries(8)
-	largeEarly, largeLate := tries(400)
+	smallEarly, smallLate := countRounds(8)
+	largeEarly, largeLate := countRounds(400)
 	if smallEarly < 10 || 2*smallLate > smallEarly {
 		t.Errorf("one of 8 processes tried %d times in the first 30 s and %d times in the next", smallEarly, smallLate)
 	}
-	if most := int(30 * proofBackoff.Rate); 400*largeEarly > 2*most || 400*largeLate > 2*most || largeEarly >= smallEarly {
-		t.Errorf("one of 400 processes tried %d times in the first 30 s and %d times in the next; limit for all together: %d per 30 s", largeEarly, largeLate, most)
+	if limit := int(30 * proofBackoff.Rate); 400*largeEarly > 2*limit || 400*largeLate > 2*limit || largeEarly >= smallEarly {
+		t.Errorf("one of 400 processes tried %d times in the first 30 s and %d times in the next; limit for all together: %d per 30 s", largeEarly, largeLate, limit)
 	}
 }
 
@@ -156,13 +156,13 @@
 			sent, cursor = sent+len(reply.Known), reply.Cursor
 		}
 		fullLists := int(duration/(others*fullListInterval)) + 1
-		if most := fullLists*(others+2) + 3*restarts; sent > most {
-			t.Errorf("%d process descriptions were sent in %d greetings, want at most %d", sent, restarts, most)
+		if limit := fullLists*(others+2) + 3*restarts; sent > limit {
+			t.Errorf("%d process descriptions were sent in %d greetings, want at most %d", sent, restarts, limit)
 		}
 	})
 }
 
-// A cursor into the list of another incarnation says nothing about this one's list.
+// A cursor into the list of another incarnation is not valid for this incarnation's list.
 func TestFullListAfterIncarnationChange(t *testing.T) {
 	m := meshWithPeers(5)
 	all, cursor := m.knownSince(listCursor{})
--- a/internal/mesh/pause.go
+++ b/internal/mesh/pause.go
@@ -14,8 +14,8 @@
 	// running.
 	tickInterval = 250 * time.Millisecond
 	// maxPause is how long a process may be paused and still use the configuration that
-	// it holds. Others may have acknowledged a change meanwhile, which leaves one second
-	// of the time within which it must be in force.
+	// it holds. Other processes may acknowledge a change during the pause; after maxPause,
+	// one second is left of the time within which the change must be in force.
 	maxPause = time.Second
 )
 
--- a/internal/mesh/peer.go
+++ b/internal/mesh/peer.go
@@ -66,10 +66,10 @@
 
 const (
 	// viaDirect means from the server itself, or from a peer that depends on this process
-	// as its hub: all peers must be told.
+	// as its hub: all peers must receive the heartbeat.
 	viaDirect via = iota
-	// viaHub means from a hub, which tells the other hubs itself: only the spokes of this
-	// process must be told.
+	// viaHub means from a hub, which sends the heartbeat to the other hubs itself: only
+	// the spokes of this process must receive it.
 	viaHub
 )
 
@@ -166,7 +166,7 @@
 	defer cancel()
 	var reply greetingReply
 	if err := q.syncClient.Call(ctx, methodSync, sent.greeting, &reply); err != nil {
-		q.noteFailure(err)
+		q.recordFailure(err)
 		return err
 	}
 	now := time.Now()
@@ -191,7 +191,7 @@
 	return nil
 }
 
-func (q *peer) noteFailure(err error) {
+func (q *peer) recordFailure(err error) {
 	now := time.Now()
 	q.mesh.mu.Lock()
 	if q.lastFailure.IsZero() || !q.isLost(now) {
@@ -357,7 +357,7 @@
 // maxQueuedStrikes bounds the strikes that are queued for an unreachable peer.
 const maxQueuedStrikes = 256
 
-// Strike records that a server crashed while running a request, and tells all entries.
+// Strike records that a server crashed while running a request, and notifies all entries.
 func (m *Mesh) Strike(strike suspicion.Strike) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -455,17 +455,16 @@
 }
 
 // waitAcked waits until all reachable entries have acknowledged a change. A server that
-// was told that it may leave and then still received work would end in the middle of a
-// request.
+// still receives work after it was allowed to leave would end in the middle of a request.
 func (m *Mesh) waitAcked(ctx context.Context, change uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	for {
 		m.mu.Lock()
-		missing := m.countUnacked(change, time.Now())
+		unacked := m.countUnacked(change, time.Now())
 		progress := m.progress
 		m.mu.Unlock()
-		if missing == 0 {
+		if unacked == 0 {
 			return nil
 		}
 		select {
@@ -482,11 +481,11 @@
 // countUnacked counts the reachable entries that have not acknowledged a change. The
 // caller holds mu.
 func (m *Mesh) countUnacked(change uint64, now time.Time) int {
-	missing := 0
+	unacked := 0
 	for _, q := range m.peers {
 		if q.active(now) && q.process.Started != 0 && now.Sub(q.lastHeard) < reachableTimeout && q.acked < change {
-			missing++
+			unacked++
 		}
 	}
-	return missing
+	return unacked
 }
--- a/internal/mesh/peers.go
+++ b/internal/mesh/peers.go
@@ -32,7 +32,7 @@
 	q := &peer{mesh: m, process: p, firstSeen: now, lastHeardAny: now.Add(-silent), wakeup: make(chan struct{}, 1), syncClient: rpc.NewClient(p.Address), callClient: rpc.NewClient(p.Address)}
 	m.peers[p.Address] = q
 	m.digest += p.digest()
-	m.noteChange(q)
+	m.recordChange(q)
 	m.relink = true
 	// Until the process has described itself, it is unknown whether it should be greeted.
 	q.linked = p.Started == 0
@@ -43,7 +43,7 @@
 	return q
 }
 
-// updateDirect records what a process reports of itself.
+// updateDirect records the description that a process reports of itself.
 func (m *Mesh) updateDirect(p Process, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -57,8 +57,8 @@
 	m.notifyProgress()
 }
 
-// updateIndirect records what a process reports of another one. What was recently heard
-// directly takes precedence.
+// updateIndirect records the description that a process reports of another one. A recent
+// direct report takes precedence.
 func (m *Mesh) updateIndirect(p Process, now time.Time) {
 	q := m.addPeerLocked(p, now)
 	lastHeard := now.Add(-time.Duration(p.SilentMillis) * time.Millisecond)
@@ -77,17 +77,17 @@
 	if before != after {
 		m.digest += after - before
 		m.relink = true
-		m.noteChange(q)
+		m.recordChange(q)
 	}
 }
 
-// noteChange counts a change to what is known of a peer. The caller holds mu.
-func (m *Mesh) noteChange(q *peer) {
+// recordChange counts a change to the description of a peer. The caller holds mu.
+func (m *Mesh) recordChange(q *peer) {
 	m.changes++
 	q.changeSeq = m.changes
 }
 
-// digest hashes all that other processes must know of a process. The index of its
+// digest hashes the fields of a process that other processes must know. The index of its
 // configuration is excluded and only reported by the process itself: otherwise each
 // configuration change would change all digests.
 func (p *Process) digest() uint64 {
@@ -136,8 +136,8 @@
 }
 
 // forgetSilent removes peers that no process has heard for long while others were heard.
-// A process that was cut off from all others must find them again on its own, so it
-// forgets none of them meanwhile. The caller holds mu.
+// A process that is cut off from all others must find them again on its own, so it
+// forgets none of them in the meantime. The caller holds mu.
 func (m *Mesh) forgetSilent() {
 	var newest time.Time
 	for _, q := range m.peers {
@@ -178,7 +178,7 @@
 }
 
 // size returns the number of known processes, including this one. It scales the rate of
-// what every process does on its own at the same few targets.
+// requests that every process sends independently to the same few processes.
 func (m *Mesh) size() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/mesh/permits.go
+++ b/internal/mesh/permits.go
@@ -75,8 +75,8 @@
 	return model
 }
 
-// models describes the models of a service. The demand at this entry stands for that at
-// all entries, since callers are spread randomly.
+// models describes the models of a service. The demand at this entry is an estimate
+// of the demand at all entries, since callers are spread randomly.
 func (p *permits) models(service *route.Service, onDisk []string, now time.Time) []modelplan.Model {
 	holders := make(map[string]int)
 	for _, e := range p.mesh.Serving() {
@@ -182,8 +182,9 @@
 	return m.demand.Share(model, models, now)
 }
 
-// leader returns the address of the leader of the log as far as is known. If two peers
-// are reported as leader, the one heard most recently is returned.
+// leader returns the address of the peer that is last known to lead the log, or "" if
+// there is none. If two peers are reported as leader, the one heard most recently is
+// returned.
 func (m *Mesh) leader() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/mesh/propose.go
+++ b/internal/mesh/propose.go
@@ -161,7 +161,8 @@
 	return h.propose(ctx, in.Command), nil
 }
 
-// read waits until everything that was committed before the call is applied here.
+// read waits until every entry that was committed before the call is applied here, and
+// returns the state.
 func (h *logHost) read(ctx context.Context) (document.State, error) {
 	r := h.current.Load()
 	if r == nil {
@@ -180,12 +181,12 @@
 	if err != nil {
 		return pullReply{}, err
 	}
-	return answerState(in, state), nil
+	return newPullReply(in, state), nil
 }
 
-// answerState builds a reply from the state, without the body if the requester already
+// newPullReply returns a reply with the state, without the body if the requester already
 // has it.
-func answerState(in pullRequest, state document.State) pullReply {
+func newPullReply(in pullRequest, state document.State) pullReply {
 	reply := pullReply{Newer: state.Index > in.Index, State: state}
 	if in.Holds && state.Version == in.Version {
 		reply.State.Body = nil
--- a/internal/mesh/restart_test.go
+++ b/internal/mesh/restart_test.go
@@ -69,7 +69,7 @@
 		t.Errorf("a late announcement restored a server that had left: err = %v", err)
 	}
 	if !f.nodes[0].DropDiskOnly(serving.ID) || len(f.nodes[0].Serving()) != 0 {
-		t.Error("a doubted server is still listed")
+		t.Error("a server known only from the disk was not dropped")
 	}
 	serving.Sequence = 5
 	if err := f.nodes[0].Announce(context.Background(), serving); err != nil || f.nodes[0].DropDiskOnly(serving.ID) {
