--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -97,7 +97,7 @@
 			})
 		})
 		if g.complete {
-			t.Errorf("HTTP/%s: got %+v", proto, g)
+			t.Errorf("HTTP/%s: got %+v, want a truncated answer", proto, g)
 		}
 	}
 }
@@ -162,7 +162,7 @@
 			"stream":   answer.Stream(status, nil, func(answer.Pass) answer.End { return answer.Complete(nil) }),
 		} {
 			if g := request(t, "1.1", http.MethodGet, func(*http.Request) answer.Answer { return a }); !g.noResponse {
-				t.Errorf("%s, status %d: got %+v", name, status, g)
+				t.Errorf("%s, status %d: got %+v, want no response", name, status, g)
 			}
 		}
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -286,9 +286,9 @@
 	return header
 }
 
-// minRetryAfter is the base delay that callers are told to wait before a retry. It is used
-// where the missing resource is expected within moments: a server that restarts, or an entry
-// that stops.
+// minRetryAfter is the base delay that callers are asked to wait before a retry. It is used
+// where the missing resource is expected to be available soon: a server that restarts, or an
+// entry that stops.
 const minRetryAfter = 250 * time.Millisecond
 
 // refuse returns the answer to a request that has not run and will not run.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -153,7 +153,7 @@
 				passed.Write(piece)
 			}
 			if rest := "id: 3" + end + "da"; string(b.rest()) != rest || passed.String()+rest != stream || b.lastID("0") != "2" || !b.partial() {
-				t.Errorf("in pieces of %d: passed %q, left %q, last id %q", size, passed.String(), b.rest(), b.lastID("0"))
+				t.Errorf("in pieces of %d: passed %q, left %q, last ID %q", size, passed.String(), b.rest(), b.lastID("0"))
 			}
 		}
 	}
@@ -257,7 +257,7 @@
 	for _, test := range tests {
 		localPause, remotePause := watchPauses(test.local, test.remote)
 		if localPause < watchPause || remotePause < remoteWatchPause {
-			t.Errorf("%+v are watched every %s and %s", test, localPause, remotePause)
+			t.Errorf("%+v are watched every %s and %s, want at least watchPause and remoteWatchPause", test, localPause, remotePause)
 		}
 		answers := float64(test.local)/localPause.Seconds() + float64(test.remote)/remotePause.Seconds()
 		if answers > maxLocalWatchRate+maxRemoteWatchRate+1 {
@@ -265,7 +265,7 @@
 		}
 	}
 	if localPause, remotePause := watchPauses(5, 13); localPause != watchPause || remotePause != remoteWatchPause {
-		t.Errorf("a small deployment's agents are watched every %s and %s", localPause, remotePause)
+		t.Errorf("agents of a small deployment are watched every %s and %s, want watchPause and remoteWatchPause", localPause, remotePause)
 	}
 }
 
--- a/internal/gateway/result.go
+++ b/internal/gateway/result.go
@@ -48,7 +48,7 @@
 	x.logResult("caller gone", nil, 0)
 }
 
-// retryAfterDivisor limits the retry delay: a caller is told to wait at most this fraction (one
+// retryAfterDivisor limits the retry delay: a caller is asked to wait at most this fraction (one
 // third) of the time that its request has left.
 const retryAfterDivisor = 3
 
--- a/internal/mesh/config_writer.go
+++ b/internal/mesh/config_writer.go
@@ -104,8 +104,8 @@
 }
 
 // applyPulled puts a state from another process in force. With a disk it is persisted
-// first: otherwise the process could restart without it, while its local log does not yet
-// know that it is committed.
+// first: otherwise the process could restart without it, while the commit is not yet recorded
+// in its local log.
 func (m *Mesh) applyPulled(state document.State, origin string) {
 	held := m.documents.Current().State
 	if state.Index <= held.Index {
--- a/internal/mesh/confirm.go
+++ b/internal/mesh/confirm.go
@@ -54,7 +54,7 @@
 	for ctx.Err() == nil {
 		pausesBefore := m.pauses.count()
 		proven := m.newestWithin(ctx, 2*proofTimeout)
-		// A proof from before a pause of this process says nothing about the time since.
+		// A proof from before a pause of this process does not cover the time since.
 		if proven && m.pauses.count() == pausesBefore {
 			m.documents.Confirm()
 			return
--- a/internal/mesh/confirm_test.go
+++ b/internal/mesh/confirm_test.go
@@ -39,7 +39,7 @@
 		f.start(i, false)
 		eventually(t, func() bool { return f.nodes[i].Documents().Current().State.Version == 7 })
 		if f.nodes[i].Documents().Current().Usable() {
-			t.Errorf("process %d uses version 7 although 9 was in force", i)
+			t.Errorf("process %d uses version 7 before it has confirmed that no newer one was in force", i)
 		}
 	}
 	f.start(1, false)
@@ -50,8 +50,8 @@
 	}
 }
 
-// As many disks as tolerated are lost, including the leader's, while all other machines stop at the same moment,
-// including those without a disk.
+// The tolerated number of disks is lost, including the leader's, and all other machines stop at the same time,
+// including those without a disk. The restarted processes must not use a configuration older than the acknowledged one.
 func TestNoOlderConfigAfterDiskLossAndFullRestart(t *testing.T) {
 	const disks, losses = 5, 2
 	f := newFleet(t, disks, 2)
@@ -119,8 +119,8 @@
 	return true
 }
 
-// A member of the log is cut off from the other members. It cannot know what they accept meanwhile, and must not claim
-// that its own state is the newest.
+// A member of the log is cut off from the other members. It cannot know which changes they accept, and must not report
+// its own state as the newest.
 func TestNoFreshnessProofWithoutMajority(t *testing.T) {
 	f := startFleet(t, 3, 1)
 	f.put(0, 7)
@@ -159,7 +159,7 @@
 	}
 }
 
-// A leader that was paused does not know whether another leader grants loads meanwhile, or by which configuration.
+// A leader that was paused does not know whether another leader grants loads by now, or by which configuration.
 func TestUnconfirmedLeaderGrantsNoLoads(t *testing.T) {
 	f := startFleet(t, 3, 0)
 	body := `{"Version":1,"Services":[{"Name":"llm","Engine":{"Models":[{"Name":"m"}]}}]}`
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -277,7 +277,7 @@
 	// A newer state of the same version comes without its body.
 	d.Apply(document.State{Index: 6, Version: 2, Adapters: map[string]int64{"m/a": 3}}, "test")
 	if got := d.Current(); got.State.Adapters["m/a"] != 3 || got.Table.Version() != 2 || got.State.Body == nil {
-		t.Errorf("configuration in force = %+v", got.State)
+		t.Errorf("configuration in force = %+v, want version 2 with its body and version 3 of the adapter", got.State)
 	}
 }
 
--- a/internal/mesh/restart_test.go
+++ b/internal/mesh/restart_test.go
@@ -40,8 +40,8 @@
 }
 
 // An entry restarts, and the servers announce themselves again only a few tenths of a second later. The entry must know
-// them immediately, or it refuses every request until then. A server that ended meanwhile must not stay listed for
-// long.
+// them immediately, or it refuses every request until then. A server that ended in the meantime must not stay
+// listed for long.
 func TestRestartedEntryKeepsServers(t *testing.T) {
 	f := startFleet(t, 1, 0)
 	serving := roster.Server{ID: "s", Born: 1, Sequence: 4, Service: "x", Address: "a:1", Models: []string{"m"}}
@@ -62,7 +62,7 @@
 	f.start(0, false)
 	known := f.nodes[0].Serving()
 	if len(known) != 1 || known[0].ID != serving.ID || known[0].Models[0] != "m" {
-		t.Fatalf("servers after the restart = %+v", known)
+		t.Fatalf("servers after the restart = %+v, want only s with model m", known)
 	}
 	left.Sequence = 3
 	if err := f.nodes[0].Announce(context.Background(), left); err != nil || f.nodes[0].MayServe(left.ID) {
@@ -93,7 +93,8 @@
 	f.put(0, 1)
 }
 
-// An entry with a disk pulls a configuration from another entry before its own log knows that it is committed.
+// An entry with a disk pulls a configuration from another entry before the commit is recorded in its own log, and
+// restarts. It must still have that configuration.
 func TestPulledConfigIsPersistedBeforeUse(t *testing.T) {
 	f := startFleet(t, 2, 0)
 	eventually(t, func() bool { return f.voters(0) == 2 })
--- a/internal/mesh/servers_file.go
+++ b/internal/mesh/servers_file.go
@@ -27,8 +27,8 @@
 // loadServers restores the servers that this process knew before it restarted. Without
 // them it would refuse every request until the servers have announced themselves again.
 // Stale entries are corrected soon: a heartbeat carries newer information, a server that
-// ended does not answer, and another server at its address answers that it is a different
-// one.
+// ended does not answer, and another server at its address responds that it is not the
+// addressed one.
 func (m *Mesh) loadServers(now time.Time) {
 	data, err := os.ReadFile(m.serversPath())
 	if err != nil {
@@ -76,7 +76,7 @@
 
 // serversToPersist lists all servers that were heard of, including gone ones: a late
 // announcement must not bring them back. Adapters are left out, since the agents of the
-// servers know them. The caller holds mu.
+// servers report them. The caller holds mu.
 func (m *Mesh) serversToPersist() []roster.Server {
 	var servers []roster.Server
 	for _, e := range m.roster.Since(0) {
--- a/internal/relay/model_test.go
+++ b/internal/relay/model_test.go
@@ -20,7 +20,7 @@
 	for _, c := range cases {
 		got, reader, err := relay.PeekModel(strings.NewReader(c.answer))
 		if got != c.want || (err != nil) != (c.want == "") {
-			t.Errorf("%s: %q, %v", c.name, got, err)
+			t.Errorf("%s: got %q, %v", c.name, got, err)
 			continue
 		}
 		if err == nil {
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -78,7 +78,7 @@
 // connectTimeout bounds the time to open a connection, including the TLS handshake.
 // It is a few times the one-way latency between regions. A connection to a machine
 // without power never opens, its first packet is retransmitted only after a second,
-// and all other calls to the address wait meanwhile.
+// and all other calls to the address wait in the meantime.
 const connectTimeout = 300 * time.Millisecond
 
 // connect returns the current connection, or dials one and waits for it.
--- a/internal/telemetry/latency_test.go
+++ b/internal/telemetry/latency_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	if got.Count != 101 || got.P50 < 45 || got.P50 > 56 || got.P99 < 90 || got.Max < 60_000 {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want 101 values with p50 45 to 56, p99 from 90 and max from 60000", got)
 	}
 	if LatencyOf("test_latency") != l {
 		t.Error("LatencyOf created a second histogram for the same name")
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -203,7 +203,7 @@
 	}()
 	_, err = NewPool(testTimeout).Call(ctx, Target{Address: listener.Addr().String()}, newRequest("r1"))
 	if !errors.Is(err, context.Canceled) {
-		t.Errorf("the call ended with %v", err)
+		t.Errorf("the call ended with %v, want context.Canceled", err)
 	}
 	if err := <-ended; err != nil {
 		t.Errorf("the server saw %v", err)
