--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -286,12 +286,12 @@
 	return header
 }
 
-// minRetryAfter is the base delay that callers are told to wait before a retry. It is used
-// where the missing resource is expected within moments: a server that restarts, or an entry
-// that stops.
+// minRetryAfter is the base delay that callers are asked to wait before a retry. It is used
+// where the missing resource is expected to be available soon: a server that restarts, or an
+// entry that stops.
 const minRetryAfter = 250 * time.Millisecond
 
-// refuse answers that the request has not run and never will.
+// refuse returns the answer to a request that has not run and will not run.
 func (g *Gateway) refuse(call *Call, reason string, after time.Duration) answer.Answer {
 	refusedCount.Add(1)
 	g.log.Info("request refused", zap.String("request", call.ID), zap.String("reason", reason), zap.Duration("retryAfter", after))
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -153,9 +153,9 @@
 	if _, _, err := call(t, pool, target, "r1"); err != nil {
 		t.Fatal(err)
 	}
-	for _, kept := range pool.idle[target] {
+	for _, c := range pool.idle[target] {
 		// The close arrives some time after the response.
-		for kept.isIdle() {
+		for c.isIdle() {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -203,7 +203,7 @@
 	}()
 	_, err = NewPool(testTimeout).Call(ctx, Target{Address: listener.Addr().String()}, newRequest("r1"))
 	if !errors.Is(err, context.Canceled) {
-		t.Errorf("the call ended with %v", err)
+		t.Errorf("the call ended with %v, want context.Canceled", err)
 	}
 	if err := <-ended; err != nil {
 		t.Errorf("the server saw %v", err)
