--- a/coord/replog/faults_test.go
+++ b/coord/replog/faults_test.go
@@ -24,15 +24,15 @@
 // Each injected fault breaks one rule of the protocol, which could lose an accepted
 // change. The schedules must detect it.
 func TestSchedulesDetectInjectedFaults(t *testing.T) {
-	for _, s := range faultCases {
-		t.Run(s.name, func(t *testing.T) {
-			if failure := run(s.seed, s.faults); failure == "" {
-				t.Errorf("seed %d does not detect the fault", s.seed)
+	for _, test := range faultCases {
+		t.Run(test.name, func(t *testing.T) {
+			if failure := run(test.seed, test.faults); failure == "" {
+				t.Errorf("seed %d does not detect the fault", test.seed)
 			} else {
 				t.Log(failure)
 			}
-			if failure := run(s.seed, ioFaults{}); failure != "" {
-				t.Errorf("seed %d without the fault: %s", s.seed, failure)
+			if failure := run(test.seed, ioFaults{}); failure != "" {
+				t.Errorf("seed %d without the fault: %s", test.seed, failure)
 			}
 		})
 	}
@@ -76,11 +76,11 @@
 }
 
 // An isolated member rejoins and starts an unnecessary election. Without pre-vote
-// it would depose the leader, and changes would be refused for a moment each time a
-// link recovers.
-func TestMemberThatWasCutOffDoesNotDeposeTheLeader(t *testing.T) {
+// it would depose the leader, and changes would be refused during the election each
+// time a link recovers.
+func TestRejoiningMemberDoesNotDeposeLeader(t *testing.T) {
 	if before, after := rejoinFollower(t, ioFaults{}); before != after {
-		t.Errorf("term changed from %d to %d", before, after)
+		t.Errorf("term changed from %d to %d, want it unchanged", before, after)
 	}
 	if before, after := rejoinFollower(t, ioFaults{core: faults{noPreVote: true}}); before == after {
 		t.Error("without pre-vote the leader was not deposed")
@@ -97,14 +97,14 @@
 		t.Error("isolated leader did not step down")
 	}
 	if _, _, err := leader.node.Propose(nil); err != ErrNotLeader {
-		t.Errorf("proposal returned %v", err)
+		t.Errorf("proposal returned %v, want ErrNotLeader", err)
 	}
 }
 
 // The leader's disk stalls without an error. The other members would continue to
 // commit its entries, but it could not apply them, and its callers would wait
 // forever.
-func TestLeaderWithAHangingDiskStepsDown(t *testing.T) {
+func TestLeaderWithStalledDiskStepsDown(t *testing.T) {
 	s, leader := startCluster(t, ioFaults{})
 	leader.swap()
 	leader.processReady()
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestTransferMakesTheTargetLeader(t *testing.T) {
+func TestTransferMakesTargetLeader(t *testing.T) {
 	s, leader := startCluster(t, ioFaults{})
 	for _, target := range s.processes {
 		if target == leader {
@@ -134,7 +134,7 @@
 		leader.processReady()
 		s.advance(200)
 		if target.node.role != Leader {
-			t.Errorf("%s is %s", target.id, target.node.role)
+			t.Errorf("%s is %s, want leader", target.id, target.node.role)
 		}
 		leader = target
 	}
@@ -191,12 +191,12 @@
 	replacement := s.add("replacement")
 	do(leader.node.AddLearner(Member{ID: replacement.id}))
 	if _, _, err := leader.node.Promote(replacement.id); err != ErrChangePending {
-		t.Errorf("promotion before the learner's entry is committed: %v", err)
+		t.Errorf("promotion before the learner's entry is committed: %v, want ErrChangePending", err)
 	}
 	s.isolate(replacement)
 	s.advance(100)
 	if _, _, err := leader.node.Promote(replacement.id); err != ErrNotCaughtUp {
-		t.Errorf("promotion of a learner that has not caught up: %v", err)
+		t.Errorf("promotion of a learner that has not caught up: %v, want ErrNotCaughtUp", err)
 	}
 	clear(s.cutLinks)
 	expect("learner", 0)
@@ -205,6 +205,6 @@
 	do(leader.node.Promote(replacement.id))
 	expect("replacement promoted", 1)
 	if _, _, err := leader.node.Remove(replacement.id); err != ErrWouldLoseRedundancy {
-		t.Errorf("removal of a healthy voter: %v", err)
+		t.Errorf("removal of a healthy voter: %v, want ErrWouldLoseRedundancy", err)
 	}
 }
--- a/coord/replog/node.go
+++ b/coord/replog/node.go
@@ -115,9 +115,9 @@
 
 func (n *Node) tickLeader() {
 	// A leader on the minority side of a partition would otherwise remain leader
-	// for the whole partition, and its callers would wait for commits that cannot
-	// happen. A leader with a stalled disk applies nothing, so its callers would
-	// wait as well.
+	// as long as the partition lasts, and its callers would wait for commits that
+	// cannot happen. A leader with a stalled disk applies no entries, so its callers
+	// would wait as well.
 	if config := n.Config(); n.reachableVoters(config) < config.Quorum() || n.diskStalled() {
 		n.becomeFollower(n.term, "")
 		return
--- a/coord/replog/schedule_test.go
+++ b/coord/replog/schedule_test.go
@@ -41,19 +41,19 @@
 }
 
 // run runs a schedule and returns the first violated rule, empty if there is none.
-func run(seed uint64, f ioFaults) string { return runKeep(seed, false, f) }
+func run(seed uint64, f ioFaults) string { return runPersist(seed, false, f) }
 
-// runKeep is like run with the given Options.PersistCommit.
-func runKeep(seed uint64, keep bool, f ioFaults) string { return runOptions(seed, keep, false, f) }
+// runPersist is like run with Options.PersistCommit set to on.
+func runPersist(seed uint64, on bool, f ioFaults) string { return runOptions(seed, on, false, f) }
 
 // runOptions is like run with the given Options.PersistCommit and
 // Options.BroadcastCommit.
-func runOptions(seed uint64, keepCommit, tellCommit bool, f ioFaults) string {
+func runOptions(seed uint64, persistCommit, broadcastCommit bool, f ioFaults) string {
 	voters := []int{3, 3, 3, 5, 1}[seed%5]
 	maxAppendBytes := []int{1, 100, 1000}[seed%3]
 	faultInterval := []int{60, 25}[seed%2]
 	electionChurn := seed%7 == 0
-	s := &schedule{simulation: newSimulation(seed, voters, maxAppendBytes, keepCommit, tellCommit, f)}
+	s := &schedule{simulation: newSimulation(seed, voters, maxAppendBytes, persistCommit, broadcastCommit, f)}
 	for s.now < scheduleUnits && s.failure == "" {
 		s.step()
 		if s.random.IntN(20) == 0 {
@@ -256,7 +256,7 @@
 // Members crash, lose their disks or are partitioned at any moment, repeatedly or
 // together. No accepted change may be lost, no stale value may be read after a
 // newer one, and a leader must be elected once all faults have ended.
-func TestLogHoldsUnderSeededFaults(t *testing.T) {
+func TestLogIsLinearizableUnderFaults(t *testing.T) {
 	for shard := range uint64(shards) {
 		t.Run(fmt.Sprint(shard), func(t *testing.T) {
 			t.Parallel()
@@ -271,14 +271,14 @@
 
 // Members crash while commits are being written to disk. A restarted member must resume with all entries that it had
 // applied, before it has contact with a leader: its clients would otherwise see an accepted change undone.
-func TestARestartedMemberGoesOnFromWhatItHadApplied(t *testing.T) {
+func TestRestartedMemberResumesWithAppliedEntries(t *testing.T) {
 	for shard := range uint64(shards) {
 		t.Run(fmt.Sprint(shard), func(t *testing.T) {
 			t.Parallel()
 			for seed := shard; seed < schedules; seed += shards {
-				for _, tellCommit := range []bool{false, true} {
-					if failure := runOptions(seed, true, tellCommit, ioFaults{}); failure != "" {
-						t.Fatalf("seed %d, BroadcastCommit %v: %s", seed, tellCommit, failure)
+				for _, broadcastCommit := range []bool{false, true} {
+					if failure := runOptions(seed, true, broadcastCommit, ioFaults{}); failure != "" {
+						t.Fatalf("seed %d, BroadcastCommit %v: %s", seed, broadcastCommit, failure)
 					}
 				}
 			}
@@ -289,7 +289,7 @@
 // A caller that applies a commit before it is synced loses it in a restart. The schedules must detect this.
 func TestSchedulesDetectCommitAppliedBeforeSync(t *testing.T) {
 	const seed = 6
-	if failure := runKeep(seed, true, ioFaults{applyBeforeSync: true}); failure == "" {
+	if failure := runPersist(seed, true, ioFaults{applyBeforeSync: true}); failure == "" {
 		t.Errorf("seed %d does not detect the fault", seed)
 	} else {
 		t.Log(failure)
--- a/coord/replog/simulation_test.go
+++ b/coord/replog/simulation_test.go
@@ -84,14 +84,14 @@
 	network   []delivery
 	cutLinks  map[[2]ID]bool
 	lossRate  float64
-	// maxAppendBytes and keepCommit are the options MaxAppendBytes and PersistCommit
-	// of every member.
+	// maxAppendBytes and persistCommit are the options MaxAppendBytes and
+	// PersistCommit of every member.
 	maxAppendBytes int
-	keepCommit     bool
-	// tellCommit is the option BroadcastCommit of every member.
-	tellCommit bool
-	nextValue  uint64
-	nextRead   uint64
+	persistCommit  bool
+	// broadcastCommit is the option BroadcastCommit of every member.
+	broadcastCommit bool
+	nextValue       uint64
+	nextRead        uint64
 
 	committed map[uint64]Entry
 	leaders   map[uint64]ID
@@ -100,9 +100,9 @@
 	failure   string
 }
 
-func newSimulation(seed uint64, voters, maxAppendBytes int, keepCommit, tellCommit bool, f ioFaults) *simulation {
+func newSimulation(seed uint64, voters, maxAppendBytes int, persistCommit, broadcastCommit bool, f ioFaults) *simulation {
 	s := &simulation{
-		random: rand.New(rand.NewPCG(seed, 1)), faults: f, maxAppendBytes: maxAppendBytes, keepCommit: keepCommit, tellCommit: tellCommit, cutLinks: make(map[[2]ID]bool),
+		random: rand.New(rand.NewPCG(seed, 1)), faults: f, maxAppendBytes: maxAppendBytes, persistCommit: persistCommit, broadcastCommit: broadcastCommit, cutLinks: make(map[[2]ID]bool),
 		committed: make(map[uint64]Entry), leaders: make(map[uint64]ID), votes: make(map[string]ID),
 	}
 	config := Config{Cluster: "test"}
@@ -137,13 +137,13 @@
 	p.up, p.queue, p.proposed, p.reads = true, nil, nil, make(map[uint64]*operation)
 	p.value, p.applied = 0, 0
 	p.node = New(Options{
-		ID: p.id, MaxAppendBytes: p.sim.maxAppendBytes, MaxInflight: 2, TrailingEntries: 5, PersistCommit: p.sim.keepCommit, BroadcastCommit: p.sim.tellCommit,
+		ID: p.id, MaxAppendBytes: p.sim.maxAppendBytes, MaxInflight: 2, TrailingEntries: 5, PersistCommit: p.sim.persistCommit, BroadcastCommit: p.sim.broadcastCommit,
 		Random: rand.New(rand.NewPCG(p.sim.random.Uint64(), 2)), faults: p.sim.faults.core,
 	}, Restored{HardState: p.disk.hard, Snapshot: p.disk.snapshot, Entries: p.disk.entries})
 	if p.disk.snapshot != nil {
 		p.restore(*p.disk.snapshot)
 	}
-	if p.sim.keepCommit {
+	if p.sim.persistCommit {
 		p.processReady()
 		if p.applied < p.appliedBeforeCrash {
 			p.sim.fail("%s restarted with applied index %d, was %d before the crash", p.id, p.applied, p.appliedBeforeCrash)
@@ -203,7 +203,7 @@
 }
 
 func (p *process) appliesAfterSync(r Ready) bool {
-	return p.sim.keepCommit && r.NeedsSync() && !p.sim.faults.applyBeforeSync
+	return p.sim.persistCommit && r.NeedsSync() && !p.sim.faults.applyBeforeSync
 }
 
 // applyReady applies the snapshot and the committed entries of a Ready to the
--- a/coord/replog/status.go
+++ b/coord/replog/status.go
@@ -30,8 +30,8 @@
 	First   uint64 `json:"first"`
 	Config  Config `json:"config"`
 	// LeaseTicks is the number of ticks for which no other leader can be elected,
-	// provided that clocks run at the same rate. It is 0 if this node is not the
-	// leader or has requested a transfer that may still succeed.
+	// provided that all clocks run at the same rate. It is 0 if this node is not
+	// the leader or has requested a transfer that may still succeed.
 	LeaseTicks uint64 `json:"leaseTicks"`
 	// Members is set by the leader only.
 	Members []MemberStatus `json:"members,omitempty"`
