--- a/coord/quota/account.go
+++ b/coord/quota/account.go
@@ -79,10 +79,10 @@
 	// reportedEmpty is true if the last renewal reported that the holder neither
 	// holds nor needs any part of the contract.
 	reportedEmpty bool
-	// short is the shortage of the last grant. asked is true if the latest
-	// renewal includes the current need.
-	short shortage
-	asked bool
+	// short is the shortage of the last grant. needSent is true if the latest
+	// renewal includes the needs of all queued requests.
+	short    shortage
+	needSent bool
 	// reserve is the content of the owner's buckets at the last grant.
 	reserve Credit
 	// returned is the credit given back since the last renewal.
@@ -140,11 +140,11 @@
 func (a *account) expire() {
 	a.share = Share{}
 	a.clip()
-	a.short, a.asked, a.sent = 0, false, false
+	a.short, a.needSent, a.sent = 0, false, false
 }
 
-// needsRenewal reports whether the next renewal must list the contract. It need
-// not if the account only has requests running.
+// needsRenewal reports whether the next renewal must list the contract. An account
+// that only has running requests need not be listed.
 func (a *account) needsRenewal(now time.Time) bool {
 	a.updateRate(now)
 	switch {
@@ -203,7 +203,7 @@
 	for b := range buckets {
 		a.queued[b] += w.cost[b]
 	}
-	a.asked = false
+	a.needSent = false
 }
 
 // noteThrottle marks the buckets whose own refill delays the first queued request.
@@ -320,7 +320,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// idle reports whether the holder has no use for a share.
+// idle reports whether the holder needs no share of the contract.
 func (a *account) idle() bool {
 	return a.inFlight == 0 && a.head() == nil && a.rate[requestBucket] < idleRate
 }
@@ -343,7 +343,7 @@
 	h.Admitted, h.Refused = a.admitted, a.refused
 	a.admitted, a.refused = 0, [clauses]uint32{}
 	a.throttled = [buckets]bool{}
-	a.asked, a.sent, a.mustConfirm = true, true, false
+	a.needSent, a.sent, a.mustConfirm = true, true, false
 	a.reported, a.reportedEmpty = h.Held, h.empty()
 	return h
 }
@@ -360,25 +360,25 @@
 }
 
 func (a *account) describeBucket(b bucket, h *Holding) {
-	whole := capacity(b, a.agreed.Limits)
+	size := capacity(b, a.agreed.Limits)
 	mean := a.meanCost(b)
-	wanted := min(a.queued[b], whole)
+	wanted := min(a.queued[b], size)
 	room := 0.0
 	if a.share[b.rate()] > 0 && a.rate[requestBucket] > 0 {
 		room = a.refillRate(b)*leasedBurstTime.Seconds() + mean
 	}
-	a.trim(b, min(whole, wanted+room), room)
+	a.trim(b, min(size, wanted+room), room)
 	h.Held[b.rate()] = a.share[b.rate()]
 	h.Held[b.burst()] = a.share[b.burst()]
 	if !a.idle() {
 		h.Demand[b.rate()] = a.rateDemand(b)
 	}
 	a.demanded[b] = h.Demand[b.rate()]
-	h.Level[b] = max(0, a.level[b]) / whole
-	h.Mean[b] = mean / whole
+	h.Level[b] = max(0, a.level[b]) / size
+	h.Mean[b] = mean / size
 	if first := a.head(); first != nil {
-		h.Ask[b] = max(0, min(1, (wanted-a.level[b])/whole))
-		h.First[b] = max(0, min(1, (first.cost[b]-a.level[b])/whole))
+		h.Ask[b] = max(0, min(1, (wanted-a.level[b])/size))
+		h.First[b] = max(0, min(1, (first.cost[b]-a.level[b])/size))
 	}
 }
 
@@ -389,8 +389,8 @@
 		offered = max(offered, growth*a.refillRate(b))
 	}
 	if a.share[b.rate()] == 0 {
-		// A large request still waits when its arrival has decayed from the
-		// average, and other holders would lease the whole rate meanwhile.
+		// A large request may wait until its arrival has decayed from the
+		// average. Without this term, other holders would lease the whole rate.
 		offered = max(offered, a.queued[b]/rateWindow.Seconds())
 	}
 	return min(1, offered/refill(b, a.agreed.Limits))
@@ -414,12 +414,12 @@
 // trim gives back content beyond keep, and reduces the capacity to the remaining
 // content plus room.
 func (a *account) trim(b bucket, keep, room float64) {
-	whole := capacity(b, a.agreed.Limits)
+	size := capacity(b, a.agreed.Limits)
 	if excess := a.level[b] - keep; excess > 0 {
 		a.level[b] -= excess
-		a.returned[b] += excess / whole
+		a.returned[b] += excess / size
 	}
-	a.share[b.burst()] = min(a.share[b.burst()], (max(0, a.level[b])+room)/whole)
+	a.share[b.burst()] = min(a.share[b.burst()], (max(0, a.level[b])+room)/size)
 	a.clip()
 }
 
--- a/coord/quota/holder.go
+++ b/coord/quota/holder.go
@@ -72,7 +72,7 @@
 )
 
 // Holder admits the requests of one entry within its leased shares. It is not
-// safe for concurrent use: a single duty uses it.
+// safe for concurrent use.
 type Holder struct {
 	options     Options
 	name        string
@@ -157,7 +157,7 @@
 }
 
 // refuseEarly refuses a request whose wait would exceed the contract's maximum, so
-// that its caller does not wait in vain.
+// that its caller does not wait for a certain refusal.
 func (h *Holder) refuseEarly(now time.Time, a *account, r Request, c cost) (Refuse, bool) {
 	limits := a.agreed.Limits
 	if c[tokenBucket] > capacity(tokenBucket, limits) {
@@ -275,8 +275,8 @@
 }
 
 // refusalCause returns cause, or CauseNoLease if no owner has answered for the time
-// of a lease: credit that the contract still has cannot be lent then, so the
-// clause may not be exhausted.
+// of a lease: the contract's remaining credit cannot be lent then, so the limit of
+// the clause may not have been reached.
 func (h *Holder) refusalCause(now time.Time, cause Cause) Cause {
 	if h.renewedAt.IsZero() || !now.Before(h.renewedAt.Add(h.options.Lease)) {
 		return CauseNoLease
@@ -313,8 +313,8 @@
 	return next, !next.IsZero()
 }
 
-// readyAt returns the time at which the holder's own refill lets a request start,
-// and false if it alone does not.
+// readyAt returns the time at which the holder's own refill suffices to start a
+// request, and false if it never does.
 func (a *account) readyAt(now time.Time, c cost) (time.Time, bool) {
 	if a.inFlight >= a.slots() {
 		return time.Time{}, false
@@ -341,7 +341,7 @@
 	}
 	for a := range h.waiting {
 		w := a.head()
-		if w == nil || a.asked {
+		if w == nil || a.needSent {
 			continue
 		}
 		if clause, blocked := a.blockingClause(w.cost); !blocked || a.short.has(clause) {
@@ -358,8 +358,8 @@
 	return false
 }
 
-// urgentWait is the wait for the holder's own refill beyond which an immediate
-// renewal is worth its message.
+// urgentWait is the wait for the holder's own refill above which a renewal is sent
+// immediately. A shorter wait does not justify the message.
 const urgentWait = 20 * time.Millisecond
 
 // growthInterval is the minimum time between two renewals that only ask for a
@@ -369,11 +369,12 @@
 // Renewing reports whether a renewal is in flight.
 func (h *Holder) Renewing() bool { return h.pending != 0 }
 
-// Short reports whether a request is still queued although the owner has been
-// asked, so that the next renewal should be sent before the regular interval ends.
+// Short reports whether a request is still queued although its needs were sent to
+// the owner, so that the next renewal should be sent before the regular interval
+// ends.
 func (h *Holder) Short() bool {
 	for a := range h.waiting {
-		if a.asked {
+		if a.needSent {
 			return true
 		}
 	}
@@ -388,7 +389,7 @@
 
 // Renewal returns the next message to the owner. Replies to earlier ones are
 // ignored from then on. If all is true, it lists every contract with changes,
-// otherwise only those with queued requests that the owner has not been asked for.
+// otherwise only those with queued requests whose needs have not been sent.
 func (h *Holder) Renewal(now time.Time, all bool) Renewal {
 	h.expire(now)
 	h.number++
@@ -396,7 +397,7 @@
 	r := Renewal{Holder: h.name, Incarnation: h.incarnation, Number: h.number, Epoch: h.epoch, Full: h.full}
 	if !all && !h.full {
 		for a := range h.waiting {
-			if !a.asked {
+			if !a.needSent {
 				r.Holdings = append(r.Holdings, a.holding(now))
 			}
 		}
@@ -452,7 +453,7 @@
 // that the next renewal reports it again.
 func (h *Holder) markUnsent() {
 	for _, a := range h.accounts {
-		a.asked, a.sent = false, false
+		a.needSent, a.sent = false, false
 	}
 }
 
--- a/coord/quota/ledger.go
+++ b/coord/quota/ledger.go
@@ -17,10 +17,10 @@
 	// keepShare is the fraction of a leased rate above which the demand must
 	// stay for the whole rate to be kept.
 	keepShare = 0.8
-	// maxOutNew is the fraction of a bucket's capacity that holders may have
-	// for a new lease on a rate, maxOutRenewed that for a renewal.
-	maxOutNew     = 0.5
-	maxOutRenewed = 0.85
+	// maxOutstandingNew is the fraction of a bucket's capacity that holders may
+	// have for a new lease on a rate, maxOutstandingRenewed that for a renewal.
+	maxOutstandingNew     = 0.5
+	maxOutstandingRenewed = 0.85
 )
 
 // ledger records how one contract is divided among its holders.
@@ -200,7 +200,7 @@
 	return t
 }
 
-// proportion returns the part of a holder in proportion to its demand.
+// proportion returns a holder's part of the contract in proportion to its demand.
 func proportion(demand, others float64) float64 {
 	return demand / max(1, demand+others)
 }
@@ -213,7 +213,7 @@
 	if rate > 0 {
 		room = rate*l.refill(b)*leasedBurstTime.Seconds() + h.Mean[b]
 	}
-	if others.outstanding[b.burst()]+h.Level[b]+room > maxOut(h.Held[b.rate()]) {
+	if others.outstanding[b.burst()]+h.Level[b]+room > maxOutstanding(h.Held[b.rate()]) {
 		rate, room = 0, 0
 	}
 	l.updateNext(b.burst(), key, short && rate == 0)
@@ -227,14 +227,14 @@
 	grant.Reserve[b] = l.reserve[b]
 }
 
-// maxOut returns the fraction of a bucket's capacity that holders may have when
-// one of them gets a rate. Capacity held by holders is lost to the reserve, which
-// has no space for what it refills.
-func maxOut(heldRate float64) float64 {
+// maxOutstanding returns the fraction of a bucket's capacity that holders may have
+// when one of them gets a rate. The reserve can only refill the capacity that
+// holders do not have.
+func maxOutstanding(heldRate float64) float64 {
 	if heldRate > 0 {
-		return maxOutRenewed
+		return maxOutstandingRenewed
 	}
-	return maxOutNew
+	return maxOutstandingNew
 }
 
 // refill returns the bucket's refill per second as a fraction of its capacity.
@@ -318,8 +318,8 @@
 	return max(0, unit-alloc.planned[Slots])
 }
 
-// updateNext makes a holder the one that is served next if it is short and the
-// place is free, or frees the place if it is no longer short.
+// updateNext makes a holder the next to be served if it is short and there is no
+// other such holder, and ends this precedence once it is no longer short.
 func (l *ledger) updateNext(m Measure, key holderKey, short bool) {
 	_, taken := l.allocations[l.next[m]]
 	switch {
--- a/coord/quota/owner.go
+++ b/coord/quota/owner.go
@@ -23,7 +23,7 @@
 }
 
 // Owner divides contracts among holders during one tenure. It is not safe for
-// concurrent use: a single duty uses it.
+// concurrent use.
 type Owner struct {
 	options   Options
 	tenure    Tenure
--- a/coord/quota/quota.go
+++ b/coord/quota/quota.go
@@ -14,7 +14,7 @@
 //
 // Shares are fractions of the contract. Each side applies them to the limits
 // that it knows, so a changed contract takes effect at an entry as soon as the
-// entry learns of it, without a message of this package.
+// entry receives it, without a message of this package.
 //
 // An unused contract has no state here and causes no messages.
 package quota
--- a/coord/quota/recovery_test.go
+++ b/coord/quota/recovery_test.go
@@ -80,7 +80,7 @@
 	h.Ask(now, Request{ID: 1, Contract: agreed, Tokens: 1})
 	reply := owner.Renew(now, h.Renewal(now, false))
 	if reply.Accepted || !reply.Full {
-		t.Fatalf("got %+v", reply)
+		t.Fatalf("got %+v, want a refusal that asks for a full renewal", reply)
 	}
 	h.Reply(now, reply)
 	if !h.Urgent(now) {
@@ -88,7 +88,7 @@
 	}
 	full := h.Renewal(now, false)
 	if actions := h.Reply(now, owner.Renew(now, full)); !full.Full || len(actions) != 1 {
-		t.Errorf("the full renewal resulted in %v", actions)
+		t.Errorf("the full renewal resulted in %v, want one action", actions)
 	}
 }
 
@@ -104,11 +104,11 @@
 	grant(Share{0, 0, 0.5, 0.5, 1}, Credit{0.9, 0.9})
 	a := h.accounts["a"]
 	if a.level[requestBucket] != 0.5*10-1 {
-		t.Errorf("the level is %v", a.level)
+		t.Errorf("the level is %v, want 4 requests", a.level)
 	}
 	grant(Share{0, 0, 0.1, 0.1, 1}, Credit{})
 	if a.level[requestBucket] > 1 || a.level[tokenBucket] > 600 {
-		t.Errorf("after the reduction the level is %v", a.level)
+		t.Errorf("after the reduction the level is %v, want at most 1 request and 600 tokens", a.level)
 	}
 }
 
@@ -121,11 +121,11 @@
 	t.Logf("admitted by entry: %v", sim.admittedBy)
 	for i := range 4 {
 		if sim.admittedBy[i] < sim.admitted/8 {
-			t.Errorf("entry %d admitted %d of %d", i, sim.admittedBy[i], sim.admitted)
+			t.Errorf("entry %d admitted %d of %d requests, want at least an eighth", i, sim.admittedBy[i], sim.admitted)
 		}
 	}
 	if sim.admitted < 400 {
-		t.Errorf("%d requests of 100 ms on 2 slots in 40 s", sim.admitted)
+		t.Errorf("admitted %d requests of 100 ms on 2 slots in 40 s, want at least 400", sim.admitted)
 	}
 }
 
@@ -222,6 +222,6 @@
 		t.Fatalf("got %v", actions)
 	}
 	if refused, ok := actions[0].(Refuse); !ok || refused.Cause != CauseNoLease {
-		t.Errorf("got %+v", actions[0])
+		t.Errorf("got %+v, want a refusal with CauseNoLease", actions[0])
 	}
 }
--- a/coord/quota/scenario_test.go
+++ b/coord/quota/scenario_test.go
@@ -148,7 +148,7 @@
 		t.Fatal("the renewal was not accepted")
 	}
 	if reserve := owner.Standing("a").Reserve; reserve != (Credit{}) {
-		t.Errorf("the reserve is %v", reserve)
+		t.Errorf("the reserve is %v, want 0", reserve)
 	}
 }
 
@@ -167,21 +167,21 @@
 		},
 	})
 	if sim.messages != messages {
-		t.Errorf("%d messages while nothing was in use", sim.messages-messages)
+		t.Errorf("%d messages while no contract was in use, want 0", sim.messages-messages)
 	}
 	if n := len(sim.owner.ledgers); n != 0 {
-		t.Errorf("the owner keeps %d ledgers", n)
+		t.Errorf("the owner keeps %d ledgers, want 0", n)
 	}
 	for _, h := range sim.holders {
 		if h.InUse() > 0 {
-			t.Errorf("%s keeps %d accounts", h.name, len(h.accounts))
+			t.Errorf("%s keeps %d accounts, want 0", h.name, len(h.accounts))
 		}
 	}
 }
 
 // One caller sends each request after the answer to the previous one, so its rate is
-// what its entry admits. A lease by the measured rate would keep that rate where it
-// is, and the caller would see a delay at every call although the contract is idle.
+// what its entry admits. A lease by the measured rate would never raise that rate,
+// and each of the caller's requests would be delayed although the contract is idle.
 func TestSingleCallerOfIdleContractDoesNotWait(t *testing.T) {
 	for _, agreed := range []contract.Contract{testContract("a", 1_000_000, 1e12, 10_000), testContract("a", 1000, 1e9, 100)} {
 		sim := simulate(scenario{
