--- a/coord/broker/broker.go
+++ b/coord/broker/broker.go
@@ -59,8 +59,7 @@
 	defaultAgeUnit = 250 * time.Millisecond
 )
 
-// Broker manages the permits of one site. It is not safe for concurrent use: a single
-// duty uses it.
+// Broker manages the permits of one site. It is not safe for concurrent use.
 type Broker struct {
 	options Options
 	window  *Window
--- a/coord/dispatch/dispatch.go
+++ b/coord/dispatch/dispatch.go
@@ -1,7 +1,8 @@
 // Package dispatch chooses the backend server for a request from a snapshot of
-// an entry's knowledge: filters drop servers that cannot serve the request,
-// scorers estimate the cost of each remaining choice for the caller, and the
-// server with the lowest sum is picked.
+// the servers as known to an entry. Servers without the request's base model are
+// excluded, and those in backoff are used only if there is no other. Of the
+// remaining ones, the server with the lowest estimated cost for the caller is
+// picked.
 package dispatch
 
 import (
@@ -80,19 +81,22 @@
 	Tried map[string]bool
 }
 
-// Costs are relative to the cost of a late answer, which is 1.
+// Costs are relative to that of an answer that is certain to be late, which is 1 in
+// addition to waitCost for the wait. For a request without a target, a wait costs 1
+// per second instead.
 const (
 	// loadCost is the cost of a load from the store on any engine. homeCost is
-	// the cost on the first engines of the adapter's rendezvous order: they have
-	// most likely held the adapter before and reload it from their own memory in
-	// a tenth of the time.
+	// the cost on the first engine of the adapter's rendezvous order, and homeStep
+	// is added for each further one, up to homeRanks: these engines have most
+	// likely held the adapter before and reload it from their own memory in a
+	// tenth of the time.
 	loadCost  = 0.45
 	homeCost  = 0.12
 	homeStep  = 0.18
 	homeRanks = 2
-	// nearCost ranks a server that held the adapter recently right behind those
+	// recentCost ranks a server that held the adapter recently right behind those
 	// that hold it now.
-	nearCost = 0.06
+	recentCost = 0.06
 	// staleCost makes an engine that must first finish its running requests the
 	// last choice among the available servers.
 	staleCost = 0.55
@@ -100,22 +104,25 @@
 	// about the same: traffic between data centres costs money, while its latency
 	// hardly matters.
 	remoteCost = 0.04
-	// connectCost is the cost of a new connection: servers count connections, and
-	// each may occupy one of their slots for a moment.
+	// connectCost is the cost of a new connection: servers limit connections, and
+	// each may briefly occupy one of their slots.
 	connectCost = 0.03
-	// waitCost is the cost of a wait as long as the whole target for an answer
-	// that is still in time: some callers leave, and the next request finds a
-	// longer queue.
+	// waitCost is the cost of a wait as long as the request's target, to which the
+	// cost is proportional even if the answer is in time: some callers leave, and
+	// the next request finds a longer queue.
 	waitCost = 0.25
-	// pressureCost is the cost of a full batch due to slower steps.
+	// pressureCost is the cost of a full batch due to slower steps; it is
+	// proportional to the use of the batch or of the memory. Above
+	// pressureThreshold more is added.
 	pressureCost = 0.15
 	// queueCost is added for each request beyond the batch: a batch of a few
 	// dozen requests turns over within a few seconds.
 	queueCost = 0.06
-	// failureCost is the cost of a failed answer.
+	// failureCost is the cost of a failed answer, multiplied by the server's share
+	// of failures beyond the share common to all servers.
 	failureCost = 2.5
-	// jitterCost keeps entries that see the same reports from choosing the same
-	// server.
+	// jitterCost is the maximum random cost, which keeps entries with the same
+	// reports from all choosing the same server.
 	jitterCost = 0.01
 	// triedCost makes a server that was already tried the last choice.
 	triedCost = 2.0
@@ -124,9 +131,9 @@
 const (
 	// staleTime is the usual time for running requests to end.
 	staleTime = 1500 * time.Millisecond
-	// nearShare is the load time from the server's own memory relative to that
-	// from the store, according to the platform's documentation.
-	nearShare = 0.1
+	// recentLoadShare is the load time from the server's own memory relative to
+	// that from the store, according to the platform's documentation.
+	recentLoadShare = 0.1
 	// lateStart is the share of the target from which an answer becomes
 	// increasingly likely to be late, lateEnd the share at which it is certain to
 	// be.
@@ -134,12 +141,12 @@
 	lateEnd   = 1.25
 )
 
-// pressureThreshold is the share of the batch above which pressure rises
-// steeply.
+// pressureThreshold is the use of the batch or of the memory, as a share, above
+// which the cost rises steeply.
 const pressureThreshold = 0.8
 
 // Pick returns the index of the candidate with the lowest cost, -1 when none
-// can serve the request. draw returns random numbers in [0, 1).
+// can serve the request. draw returns a random number in [0, 1).
 func Pick(candidates []Candidate, r Request, draw func() float64) int {
 	best, lowest := -1, 0.0
 	homes := homeOrder(candidates, r.Adapter)
@@ -223,7 +230,7 @@
 	case c.Residence == Stale:
 		return staleTime
 	case c.Residence == RecentlyHeld:
-		return time.Duration(nearShare * float64(c.LoadTime))
+		return time.Duration(recentLoadShare * float64(c.LoadTime))
 	default:
 		return c.LoadTime
 	}
@@ -236,7 +243,7 @@
 	case c.Residence == Stale:
 		return staleCost
 	case c.Residence == RecentlyHeld:
-		return nearCost
+		return recentCost
 	case home > 0:
 		return min(homeCost+homeStep*float64(home-1), loadCost)
 	default:
--- a/coord/dispatch/dispatch_test.go
+++ b/coord/dispatch/dispatch_test.go
@@ -109,7 +109,7 @@
 	}
 	before, after := h.FailureShare(now), h.FailureShare(now.Add(30*time.Second))
 	if before < 0.5 || after > before/10 {
-		t.Errorf("the failure share went from %.2f to %.2f in 30 s", before, after)
+		t.Errorf("the failure share went from %.2f to %.2f in 30 s, want at least 0.5 and at most a tenth of it", before, after)
 	}
 }
 
@@ -150,11 +150,11 @@
 	held.Update([]string{"m/a", "m/b"})
 	held.Update([]string{"m/b"})
 	if !held.Recent("m/a") || held.Recent("m/b") {
-		t.Fatalf("wrong dropped adapters: %+v", held)
+		t.Fatalf("dropped adapters are %+v, want only m/a", held)
 	}
 	candidates[away].Residence = RecentlyHeld
 	if got := Pick(candidates, r, noJitter); got != away {
-		t.Errorf("picked %d, want %d", got, away)
+		t.Errorf("picked %d, want the server that dropped the adapter, %d", got, away)
 	}
 	candidates[home].Residence = Resident
 	if got := Pick(candidates, r, noJitter); got != home {
@@ -168,6 +168,6 @@
 		held.Update([]string{string(rune(0x4e00 + i))})
 	}
 	if held.Recent(string(rune(0x4e00))) || !held.Recent(string(rune(0x4e00+maxDropped+3))) || len(held.dropped) != maxDropped {
-		t.Errorf("%d dropped adapters are remembered, or the wrong ones", len(held.dropped))
+		t.Errorf("%d dropped adapters are remembered, want only the latest ones", len(held.dropped))
 	}
 }
--- a/coord/dispatch/duration_test.go
+++ b/coord/dispatch/duration_test.go
@@ -12,20 +12,20 @@
 func TestMostAnswersEndWithinBound(t *testing.T) {
 	for _, mean := range []time.Duration{200 * time.Millisecond, 2 * time.Second} {
 		random := rand.New(rand.NewPCG(1, 2))
-		var u DurationEstimate
+		var estimate DurationEstimate
 		draw := func() time.Duration { return time.Duration((0.4 + 1.2*random.Float64()) * float64(mean)) }
 		for range 200 {
-			u.Add(draw())
+			estimate.Add(draw())
 		}
 		within := 0
 		const answers = 1000
 		for range answers {
-			if draw() <= u.UpperBound() {
+			if draw() <= estimate.UpperBound() {
 				within++
 			}
 		}
-		if within < answers*97/100 || u.UpperBound() > 3*mean {
-			t.Errorf("mean %v: %d of %d answers end within the bound of %v", mean, within, answers, u.UpperBound())
+		if within < answers*97/100 || estimate.UpperBound() > 3*mean {
+			t.Errorf("mean %v: %d of %d answers end within the bound of %v", mean, within, answers, estimate.UpperBound())
 		}
 	}
 	var none DurationEstimate
--- a/coord/dispatch/health.go
+++ b/coord/dispatch/health.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Health is what an entry learns about one server from its answers. The zero
-// value is the state of a server without answers.
+// Health is the state of one server as derived by an entry from its answers. The
+// zero value is the state of a server without answers.
 type Health struct {
 	share  float64
 	answer time.Duration
@@ -69,10 +69,10 @@
 // Answer returns the usual time to the first byte.
 func (h *Health) Answer() time.Duration { return h.answer }
 
-// commonFailureShare returns the failure share that says nothing about a single
-// server: the median share plus its expected random deviation. Requests that
-// fail on every server would otherwise drive other requests from server to
-// server, away from their adapters.
+// commonFailureShare returns the failure share that is not specific to a single
+// server: the median share plus its expected random deviation. If it were not
+// subtracted, requests that fail on every server would drive other requests from
+// server to server, away from their adapters.
 func commonFailureShare(candidates []Candidate) float64 {
 	shares := make([]float64, 0, len(candidates))
 	for i := range candidates {
--- a/coord/dispatch/held.go
+++ b/coord/dispatch/held.go
@@ -3,11 +3,11 @@
 import "slices"
 
 // Held tracks which adapters a server holds and remembers those that it has
-// dropped: a server keeps recently dropped adapters in its own memory for a
-// while and reloads them without the store. The zero value is empty and ready
-// to use.
+// dropped: a server keeps recently dropped adapters in its own memory for some
+// time and reloads them without the store. The zero value is empty and ready to
+// use.
 type Held struct {
-	now []string
+	current []string
 	// dropped is ordered by time, the most recent last.
 	dropped []string
 }
@@ -18,7 +18,7 @@
 
 // Update sets the adapters that the server holds now.
 func (h *Held) Update(names []string) {
-	for _, name := range h.now {
+	for _, name := range h.current {
 		if !slices.Contains(names, name) {
 			h.dropped = append(slices.DeleteFunc(h.dropped, func(d string) bool { return d == name }), name)
 		}
@@ -26,7 +26,7 @@
 	if over := len(h.dropped) - maxDropped; over > 0 {
 		h.dropped = slices.Delete(h.dropped, 0, over)
 	}
-	h.now = names
+	h.current = names
 }
 
 // Recent reports whether the server has dropped the adapter and most likely still
--- a/coord/fairqueue/fairqueue.go
+++ b/coord/fairqueue/fairqueue.go
@@ -68,8 +68,7 @@
 	MaxHeadStart float64
 }
 
-// Queue holds waiting requests. It is not safe for concurrent use: a single duty uses
-// it.
+// Queue holds waiting requests. It is not safe for concurrent use.
 type Queue struct {
 	options Options
 	flows   map[string]*flow
--- a/coord/modelplan/modelplan.go
+++ b/coord/modelplan/modelplan.go
@@ -24,8 +24,9 @@
 	// next request arrives.
 	baseDemand = 0.02
 	// minHolders replaces a count of 0 holders: a model without holders precedes
-	// one with holders, unless the latter has twelve times its share for each
-	// holder.
+	// one with holders, unless the latter has more than 4 times its demand for each
+	// holder; 12 times if the engine's disk has a copy of only the model without
+	// holders. Demand includes baseDemand here.
 	minHolders = 0.25
 	// diskFactor favours a copy on the engine's own disk: a load from disk takes
 	// well under half the time of a load from the store and adds no load to the
--- a/coord/placement/advice.go
+++ b/coord/placement/advice.go
@@ -59,8 +59,7 @@
 	slowLoadMillis = 1000
 )
 
-// Advisor keeps the demand of the last day. It is not safe for concurrent use:
-// one goroutine owns it.
+// Advisor keeps the demand of the last day. It is not safe for concurrent use.
 type Advisor struct {
 	view   *View
 	groups map[group]*history
--- a/coord/placement/selector.go
+++ b/coord/placement/selector.go
@@ -41,8 +41,7 @@
 	tieJitter = 0.002
 )
 
-// Selector chooses servers for one entry. It is not safe for concurrent use:
-// one goroutine owns it, or a lock guards it.
+// Selector chooses servers for one entry. It is not safe for concurrent use.
 type Selector struct {
 	options   SelectorOptions
 	picker    *Picker
--- a/coord/prefixcache/index.go
+++ b/coord/prefixcache/index.go
@@ -37,7 +37,7 @@
 }
 
 // Index is one viewer's estimate of the contents of the engines' caches. It is
-// not safe for concurrent use: one goroutine owns it, or a lock guards it.
+// not safe for concurrent use.
 type Index struct {
 	options Options
 	servers map[string]*cache
--- a/coord/quota/holder.go
+++ b/coord/quota/holder.go
@@ -314,7 +314,7 @@
 }
 
 // readyAt returns the time at which the holder's own refill suffices to start a
-// request, and false if it never does.
+// request, and false if the refill alone does not suffice.
 func (a *account) readyAt(now time.Time, c cost) (time.Time, bool) {
 	if a.inFlight >= a.slots() {
 		return time.Time{}, false
--- a/coord/residency/overload_test.go
+++ b/coord/residency/overload_test.go
@@ -68,18 +68,18 @@
 }
 
 // Bursts bring twice the callers that the engines can serve. If requests were served in the order of arrival, or late
-// ones took every position that is free for a moment, nearly all would be late. Requests that cannot be served must be
-// refused at their latest start time.
+// ones took every batch position as it becomes free, nearly all would be late. Requests that cannot be served must be
+// refused at their start deadline.
 func TestOverloadServesRequestsInTime(t *testing.T) {
 	w := workload{batch: 32, run: 2 * time.Second, size: 16, interval: 500 * time.Millisecond, target: 500 * time.Millisecond, maxWait: 2 * time.Second, bursts: 60}
 	got := w.simulate()
-	asked := w.size * w.bursts
-	t.Logf("%d asked: %+v", asked, got)
-	if got.inTime+got.late+got.refused != asked || got.overdue > 0 {
-		t.Errorf("outcomes of %d callers: %+v, want one each and none overdue", asked, got)
+	callers := w.size * w.bursts
+	t.Logf("%d callers: %+v", callers, got)
+	if got.inTime+got.late+got.refused != callers || got.overdue > 0 {
+		t.Errorf("outcomes of %d callers: %+v, want one each and none overdue", callers, got)
 	}
 	// The engine can serve half of them.
-	if got.inTime*100 < asked*40 {
-		t.Errorf("%d of %d requests were served in time, want at least 40%%", got.inTime, asked)
+	if got.inTime*100 < callers*40 {
+		t.Errorf("%d of %d requests were served in time, want at least 40%%", got.inTime, callers)
 	}
 }
--- a/coord/residency/pace.go
+++ b/coord/residency/pace.go
@@ -4,14 +4,14 @@
 
 // pacer spreads the prompts that an engine reads (prefill). An engine reads
 // prompts in chunks between the decoding steps of its other requests; several
-// long prompts at once lengthen every pause of every stream on it. Callers
-// would see fluent answers halt for a third of a second.
+// long prompts at once lengthen the pauses of all streams on it: answers that
+// were fluent halt for a third of a second.
 //
 // Prompts are started no faster than a share of the engine's read rate. The
 // rate is estimated from prompts that were read alone, and until there are
 // enough of these from all prompts that were read back to back. While the rate
 // is unknown, prompts are not delayed: after a restart there are no streams to
-// halt, and many callers wait for their first event.
+// interrupt, and many callers wait for their first event.
 type pacer struct {
 	fit fit
 	// busySince is when the engine began to read prompts after a pause, and
@@ -180,10 +180,10 @@
 // means that its prompt is read.
 func (t *Table) FirstEvent(id string, now time.Time) {
 	s, ok := t.started[id]
-	if !ok || s.begun {
+	if !ok || s.prefilled {
 		return
 	}
-	s.begun, s.seen = true, true
+	s.prefilled, s.seen = true, true
 	t.rememberParts(s)
 	t.pacer.recordRead(s.prompt, now)
 	if s.alone {
@@ -194,7 +194,7 @@
 // reading reports whether a started prompt is still being read.
 func (t *Table) reading() bool {
 	for _, s := range t.started {
-		if !s.begun {
+		if !s.prefilled {
 			return true
 		}
 	}
@@ -204,7 +204,7 @@
 // clearAlone marks the prompts that are being read as not read alone.
 func (t *Table) clearAlone() {
 	for _, s := range t.started {
-		if !s.begun {
+		if !s.prefilled {
 			s.alone = false
 		}
 	}
--- a/coord/residency/parts.go
+++ b/coord/residency/parts.go
@@ -7,7 +7,7 @@
 }
 
 // maxParts bounds the parts that are remembered for one adapter. An engine
-// caches far fewer shared ones.
+// caches far fewer shared parts of an adapter.
 const maxParts = 128
 
 // unread returns the number of prompt tokens that the engine has to read. A
--- a/coord/residency/pauses_test.go
+++ b/coord/residency/pauses_test.go
@@ -40,7 +40,7 @@
 				t.Errorf("prompts may take %.2f of the rate, want %.2f to %.2f", got, test.from, test.to)
 			}
 			if test.tolerated > minReadShare && halted > streams/2*6/100 {
-				t.Errorf("%d of %d streams halted for too long", halted, streams/2)
+				t.Errorf("%d of %d streams halted for too long, want at most 6%%", halted, streams/2)
 			}
 		})
 	}
--- a/coord/residency/plan.go
+++ b/coord/residency/plan.go
@@ -138,7 +138,8 @@
 	return Start{ID: r.ID, Version: version}
 }
 
-// ensureLoaded takes the next step toward the engine holding an adapter.
+// ensureLoaded returns the next order that is needed for the engine to hold an
+// adapter, if any can be given now.
 func (t *Table) ensureLoaded(name string, wanted map[string]int, now time.Time) []Action {
 	if a := t.adapters[name]; a != nil {
 		return t.reload(name, a, wanted, now)
@@ -163,8 +164,8 @@
 	if t.startable(name, a, now) || a.version != absent && !t.idle(a) {
 		return nil
 	}
-	// An adapter that is gone but still tracked for the requests that started on
-	// it needs free capacity at the engine like any other load.
+	// An adapter that the engine has dropped, but that is tracked for the requests
+	// that started on it, needs free capacity at the engine like any other load.
 	if a.version == absent && t.occupied() >= t.options.MaxAdapters {
 		return t.evict(wanted, now)
 	}
--- a/coord/residency/report.go
+++ b/coord/residency/report.go
@@ -52,13 +52,13 @@
 	return t.plan(now)
 }
 
-func (t *Table) applyHeld(name string, version int64, coming map[string]int64, now time.Time) {
+func (t *Table) applyHeld(name string, version int64, loads map[string]int64, now time.Time) {
 	a := t.adapters[name]
 	if a == nil {
 		a = &adapterState{usedAt: now}
 		t.adapters[name] = a
 	}
-	_, loading := coming[name]
+	_, loading := loads[name]
 	if a.loading && !loading && (version > a.version || version >= t.newest[name].version) {
 		a.loading = false
 	}
@@ -71,8 +71,8 @@
 func (t *Table) applyAbsent(name string, r Report) {
 	a := t.adapters[name]
 	_, held := r.Held[name]
-	_, coming := r.Loading[name]
-	if held || coming {
+	_, loading := r.Loading[name]
+	if held || loading {
 		return
 	}
 	if a.loading && r.RequestedAt.Sub(a.since) < orderTimeout {
--- a/coord/residency/residency.go
+++ b/coord/residency/residency.go
@@ -55,7 +55,7 @@
 	late bool
 }
 
-// Action is something that the owner of the table must do.
+// Action is an instruction to the owner of the table.
 type Action interface{ action() }
 
 // Start starts a request.
@@ -94,7 +94,7 @@
 const (
 	// ReasonFull means that the queue is full.
 	ReasonFull Reason = "queue_full"
-	// ReasonLate means that the latest start time of the request has passed.
+	// ReasonLate means that the request's StartDeadline has passed.
 	ReasonLate Reason = "too_late"
 	// ReasonLeaving means that the engine accepts no new requests.
 	ReasonLeaving Reason = "leaving"
@@ -118,8 +118,8 @@
 type adapterState struct {
 	// version is the version that the engine holds, or absent.
 	version int64
-	// loading and unloading tell which order is in progress, and since is when it
-	// was given.
+	// loading and unloading are set while an order of that kind is in progress, and
+	// since is when it was given.
 	loading, unloading bool
 	since              time.Time
 	pins               int
@@ -135,17 +135,18 @@
 	tokens  int
 	parts   []Part
 	at      time.Time
-	// begun is set once the request has produced its first event; alone stays set
-	// while no other prompt was read at the same time.
-	begun bool
-	alone bool
+	// prefilled is set once the request has produced its first event, which means
+	// that its prompt is read; alone stays set while no other prompt is read at the
+	// same time.
+	prefilled bool
+	alone     bool
 	// seen is set once the engine has reported the request.
 	seen bool
 	// missing counts consecutive reports that lack the request.
 	missing int
 }
 
-// Table is the state of one engine.
+// Table is the state of one engine. It is not safe for concurrent use.
 type Table struct {
 	options  Options
 	adapters map[string]*adapterState
--- a/coord/residency/residency_test.go
+++ b/coord/residency/residency_test.go
@@ -259,7 +259,7 @@
 		table.Apply(heldReport(now, "m/a"), now)
 	}
 	if table.Running() != 0 || table.Tokens() != 0 {
-		t.Errorf("%d requests with %d tokens are still counted", table.Running(), table.Tokens())
+		t.Errorf("%d requests with %d tokens are still counted, want none", table.Running(), table.Tokens())
 	}
 }
 
@@ -302,12 +302,12 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 4:
-				asked := heldReport(now, slices.Collect(maps.Keys(engine))...)
-				asked.Running = make(map[string]bool)
+				report := heldReport(now, slices.Collect(maps.Keys(engine))...)
+				report.Running = make(map[string]bool)
 				for id := range uses {
-					asked.Running[id] = true
+					report.Running[id] = true
 				}
-				unread = &asked
+				unread = &report
 			case 5:
 				if unread != nil {
 					check(table.Apply(*unread, now))
--- a/coord/slots/slots.go
+++ b/coord/slots/slots.go
@@ -173,8 +173,7 @@
 	return a
 }
 
-// Table is the slot table of one engine. It is not safe for concurrent use: a single
-// duty uses it.
+// Table is the slot table of one engine. It is not safe for concurrent use.
 type Table struct {
 	options  Options
 	slots    map[catalogue.Ref]*slot
--- a/coord/slots/slots_test.go
+++ b/coord/slots/slots_test.go
@@ -268,7 +268,7 @@
 }
 
 // Popular adapters with requests always running hold every slot. A request for another
-// adapter must not wait until its caller gives up.
+// adapter must start before its caller's timeout.
 func TestPinnedSlotsDoNotStarveWaitingAdapter(t *testing.T) {
 	now := time.Unix(0, 0)
 	table := NewTable(Options{Slots: 1, Queue: 8, StarvationTimeout: time.Second})
@@ -291,20 +291,20 @@
 // Every slot serves requests while another server has a free one. A request that is
 // not patient must be refused, so that it can be sent to the other server instead of
 // waiting for unrelated requests to end.
-func TestOnlyPatientRequestsWaitForASlot(t *testing.T) {
+func TestOnlyPatientRequestsWaitForSlot(t *testing.T) {
 	now := time.Unix(0, 0)
 	table := NewTable(Options{Slots: 1, Queue: 8})
 	load := grantAll(table, table.Request(patientClaim(1, ref(1)), now), now)[0].(Load)
 	table.Loaded(load.Order, now)
 	got := table.Request(Claim{Request: 2, Ref: ref(2), Weight: 1}, now)
 	if len(got) != 1 || got[0] != (Refuse{Request: 2, Reason: ReasonNoSlot}) {
-		t.Errorf("an impatient request got %v", got)
+		t.Errorf("a request that is not patient got %v, want a refusal with ReasonNoSlot", got)
 	}
 	if got := table.Request(Claim{Request: 3, Ref: ref(1), Weight: 1}, now); len(got) != 1 || got[0] != (Start{Request: 3}) {
-		t.Errorf("a request for the loaded adapter got %v", got)
+		t.Errorf("a request for the loaded adapter got %v, want its start", got)
 	}
 	if got := table.Request(patientClaim(4, ref(2)), now); len(got) != 0 || table.Report(now).Waiting != 1 {
-		t.Errorf("a patient request got %v", got)
+		t.Errorf("a patient request got %v, want no action and one waiting request", got)
 	}
 }
 
@@ -318,7 +318,7 @@
 		table.LoadFailed(load.Order, true, now)
 		early := table.Request(patientClaim(2, ref(1)), now.Add(pause-time.Millisecond))
 		if len(early) != 1 || early[0] != (Refuse{Request: 2, Reason: ReasonLoadFailed}) {
-			t.Fatalf("after %d failures: %v", failures+1, early)
+			t.Fatalf("after %d failures: %v, want a refusal with ReasonLoadFailed", failures+1, early)
 		}
 		now = now.Add(pause)
 	}
@@ -343,7 +343,7 @@
 		}
 		next := table.Unloaded(unload.Order, now)[0].(Load)
 		if next.Ref != ref(1) {
-			t.Fatalf("loads %v", next.Ref)
+			t.Fatalf("loads %v, want the adapter that callers wait for", next.Ref)
 		}
 		var got []Action
 		if again {
@@ -352,7 +352,7 @@
 			got = table.Loaded(next.Order, now)
 		}
 		if slices.ContainsFunc(got, isRefusal) != again {
-			t.Errorf("refused again %v: %v", again, got)
+			t.Errorf("load refused again = %v: got %v, want callers refused = the same", again, got)
 		}
 	}
 }
--- a/coord/slots/usage.go
+++ b/coord/slots/usage.go
@@ -8,7 +8,7 @@
 )
 
 // trackedPerSlot is the number of adapters per slot whose use is tracked, loaded or
-// not: an adapter requested again soon after its eviction is worth keeping.
+// not: an adapter requested again soon after its eviction should be kept next time.
 const trackedPerSlot = 16
 
 // usage estimates how often each adapter is requested, with exponential decay.
--- a/coord/suspicion/suspicion.go
+++ b/coord/suspicion/suspicion.go
@@ -120,8 +120,7 @@
 	Noted Verdict = "noted"
 )
 
-// Table holds the records. It is not safe for concurrent use: one goroutine
-// owns it.
+// Table holds the records. It is not safe for concurrent use.
 type Table struct {
 	limits  Limits
 	records map[Fingerprint]Record
