--- a/coord/backoff/backoff_test.go
+++ b/coord/backoff/backoff_test.go
@@ -33,22 +33,22 @@
 }
 
 func TestOutage(t *testing.T) {
-	var trouble Outage
+	var outage Outage
 	first := time.Unix(1, 0)
-	if got := trouble.Failed(first); got != 0 {
+	if got := outage.Failed(first); got != 0 {
 		t.Errorf("after the first failure the run has lasted %s, want 0", got)
 	}
-	if got := trouble.Elapsed(first.Add(time.Second)); got != time.Second {
+	if got := outage.Elapsed(first.Add(time.Second)); got != time.Second {
 		t.Errorf("the run has lasted %s, want 1s", got)
 	}
-	if got := trouble.Failed(first.Add(time.Minute)); got != time.Minute {
+	if got := outage.Failed(first.Add(time.Minute)); got != time.Minute {
 		t.Errorf("the run has lasted %s, want 1m", got)
 	}
-	trouble.Succeeded()
-	if got := trouble.Elapsed(first.Add(time.Hour)); got != 0 {
+	outage.Succeeded()
+	if got := outage.Elapsed(first.Add(time.Hour)); got != 0 {
 		t.Errorf("after a success the run has lasted %s, want 0", got)
 	}
-	if got := trouble.Failed(first.Add(time.Hour)); got != 0 {
+	if got := outage.Failed(first.Add(time.Hour)); got != 0 {
 		t.Errorf("a failure after a success has lasted %s, want 0", got)
 	}
 }
--- a/coord/claim/claim_test.go
+++ b/coord/claim/claim_test.go
@@ -75,7 +75,7 @@
 // Keys are retried hours or days later, after their answers were dropped, on
 // instances that were restored from a snapshot. A table with limits must never
 // grant an attempt that the unlimited reference table refuses.
-func TestATableThatForgetsNeverGrantsMoreThanOneThatRemembers(t *testing.T) {
+func TestExpiryNeverGrantsExtraAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, model, now := claim.NewTable(claim.DefaultOptions), reference{}, start
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -121,7 +121,7 @@
 
 // A client that was offline sends a queued call days later. The call has already
 // run and its claim has expired; it must not run again.
-func TestALateResendOfAnExpiredKeyDoesNotRun(t *testing.T) {
+func TestLateRetryOfExpiredKeyDoesNotRun(t *testing.T) {
 	for _, key := range []string{"plain", timedKey(start, 1)} {
 		table := claim.NewTable(claim.DefaultOptions)
 		id := claim.ID{Contract: "c", Key: key}
@@ -129,7 +129,7 @@
 			return table.Apply(claim.Command{ID: id, Begin: &claim.Begin{Token: token, Fingerprint: []byte{1}}}, at).Verdict
 		}
 		if got := begin("1", start); got != claim.Granted {
-			t.Fatalf("%s: first attempt: %s", key, got)
+			t.Fatalf("%s: first attempt: %s, want Granted", key, got)
 		}
 		table.Apply(claim.Command{ID: id, Finish: &claim.Finish{Token: "1", Answer: claim.Answer{Status: 200, Kept: true}}}, start)
 		steps := []struct {
@@ -145,7 +145,7 @@
 	table := claim.NewTable(claim.DefaultOptions)
 	late := claim.Command{ID: claim.ID{Contract: "c", Key: timedKey(start, 2)}, Begin: &claim.Begin{Token: "1"}}
 	if got := table.Apply(late, start.Add(400*24*time.Hour)); got.Verdict != claim.TooOld {
-		t.Errorf("key of last year without a record: %s", got.Verdict)
+		t.Errorf("key of last year without a record: %s, want TooOld", got.Verdict)
 	}
 }
 
@@ -158,11 +158,11 @@
 	begin := claim.Command{Begin: &claim.Begin{Token: "1", Fingerprint: []byte{1}}}
 	apply("a", begin)
 	if got := apply("b", begin); got.Verdict != claim.Full {
-		t.Errorf("second claim: %s", got.Verdict)
+		t.Errorf("second claim: %s, want Full", got.Verdict)
 	}
 	apply("a", claim.Command{Finish: &claim.Finish{Token: "1", Answer: claim.Answer{Status: 200, Kept: true, Body: make([]byte, 11)}}})
 	if got := apply("a", begin); got.Verdict != claim.Replay || got.Answer.Kept || got.Answer.Status != 200 {
-		t.Errorf("answer above the size limit: %+v", got)
+		t.Errorf("answer above the size limit: %+v, want a replay of its status only", got)
 	}
 }
 
--- a/coord/document/document.go
+++ b/coord/document/document.go
@@ -66,7 +66,7 @@
 		return false, errors.Wrap(err, "a committed command cannot be read")
 	}
 	changed := m.put(command.Put)
-	changed = m.name(command.AdapterVersion) || changed
+	changed = m.setAdapterVersion(command.AdapterVersion) || changed
 	if changed {
 		m.state.Index = index
 	}
@@ -81,14 +81,14 @@
 	return true
 }
 
-func (m *Machine) name(n *AdapterVersion) bool {
-	if n == nil || n.Version <= m.state.Adapters[n.Adapter] {
+func (m *Machine) setAdapterVersion(v *AdapterVersion) bool {
+	if v == nil || v.Version <= m.state.Adapters[v.Adapter] {
 		return false
 	}
 	if m.state.Adapters == nil {
 		m.state.Adapters = make(map[string]int64)
 	}
-	m.state.Adapters[n.Adapter] = n.Version
+	m.state.Adapters[v.Adapter] = v.Version
 	return true
 }
 
--- a/coord/document/document_test.go
+++ b/coord/document/document_test.go
@@ -13,7 +13,7 @@
 	return data
 }
 
-func name(adapter string, version int64) []byte {
+func adapterVersion(adapter string, version int64) []byte {
 	data, _ := json.Marshal(Command{AdapterVersion: &AdapterVersion{Adapter: adapter, Version: version}})
 	return data
 }
@@ -22,7 +22,7 @@
 // arrives again after a newer one. Readers must get the first content of the
 // highest version: otherwise the routes of an operator whose document was accepted
 // would revert.
-func TestTheHighestVersionStays(t *testing.T) {
+func TestHighestVersionWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var m Machine
 		first := make(map[uint64]string)
@@ -35,7 +35,7 @@
 				t.Fatal(err)
 			}
 			if higher := version > highest; changed != higher {
-				t.Fatalf("version %d after %d: changed = %v", version, highest, changed)
+				t.Fatalf("version %d after %d: changed = %v, want changed only by a higher version", version, highest, changed)
 			}
 			if version > highest {
 				highest, first[version] = version, body
@@ -53,7 +53,7 @@
 		version int64
 		want    int64
 	}{{2, 2}, {5, 5}, {3, 5}, {5, 5}} {
-		if _, err := m.Apply(uint64(i+1), name("m/a", step.version)); err != nil {
+		if _, err := m.Apply(uint64(i+1), adapterVersion("m/a", step.version)); err != nil {
 			t.Fatal(err)
 		}
 		if got := m.State().Adapters["m/a"]; got != step.want {
@@ -67,7 +67,7 @@
 
 func TestSnapshotRoundTrip(t *testing.T) {
 	var m, restored Machine
-	for i, command := range [][]byte{put(3, `{"a":1}`), name("m/a", 7)} {
+	for i, command := range [][]byte{put(3, `{"a":1}`), adapterVersion("m/a", 7)} {
 		if _, err := m.Apply(uint64(i+1), command); err != nil {
 			t.Fatal(err)
 		}
--- a/coord/experiment/world.go
+++ b/coord/experiment/world.go
@@ -256,7 +256,7 @@
 	incarnation    uint64
 	sequence       uint64
 	loadTime       time.Duration
-	asked          map[slots.OrderID]time.Duration
+	requestedAt    map[slots.OrderID]time.Duration
 	// pendingAsks are the loads that wait for a permit.
 	pendingAsks []slots.Ask
 }
@@ -270,15 +270,15 @@
 	options := w.policy.Slots
 	options.Slots, options.Queue = w.deployment.Slots, queueBound
 	return &server{
-		world:    w,
-		name:     fmt.Sprintf("server-%02d", i),
-		engine:   i < w.deployment.Engines,
-		table:    slots.NewTable(options),
-		batch:    newBatch(&w.clock, w.deployment.Capacity),
-		prefixes: newPrefixes(),
-		waiting:  make(map[slots.RequestID]*waiter),
-		loads:    make(map[slots.OrderID]func()),
-		asked:    make(map[slots.OrderID]time.Duration),
+		world:       w,
+		name:        fmt.Sprintf("server-%02d", i),
+		engine:      i < w.deployment.Engines,
+		table:       slots.NewTable(options),
+		batch:       newBatch(&w.clock, w.deployment.Capacity),
+		prefixes:    newPrefixes(),
+		waiting:     make(map[slots.RequestID]*waiter),
+		loads:       make(map[slots.OrderID]func()),
+		requestedAt: make(map[slots.OrderID]time.Duration),
 	}
 }
 
@@ -319,8 +319,8 @@
 			r := s.dequeue(a.Request)
 			w.refused(r, s, a.Reason)
 		case slots.Ask:
-			if _, again := s.asked[a.Order]; !again {
-				s.asked[a.Order] = w.at
+			if _, again := s.requestedAt[a.Order]; !again {
+				s.requestedAt[a.Order] = w.at
 			}
 			s.dropAsk(a.Order)
 			s.pendingAsks = append(s.pendingAsks, a)
@@ -394,7 +394,7 @@
 
 func (s *server) returnPermit(order slots.OrderID) {
 	w, key := s.world, s.key(order)
-	delete(s.asked, order)
+	delete(s.requestedAt, order)
 	s.dropAsk(order)
 	if cancel, loading := s.loads[order]; loading {
 		cancel()
@@ -412,8 +412,8 @@
 	s.loads[a.Order] = w.store.begin(func() {
 		delete(s.loads, a.Order)
 		took := w.at - began
-		total := w.at - s.asked[a.Order]
-		delete(s.asked, a.Order)
+		total := w.at - s.requestedAt[a.Order]
+		delete(s.requestedAt, a.Order)
 		s.loadTime += time.Duration(loadGain * float64(total-s.loadTime))
 		w.after(hop, func() { w.deliver(w.permits.Loaded(key, took, w.now())) })
 		s.perform(s.table.Loaded(a.Order, w.now()))
--- a/coord/fairqueue/fairqueue_test.go
+++ b/coord/fairqueue/fairqueue_test.go
@@ -202,7 +202,7 @@
 	index := jain(serve(shares, priorities, costs, 20_000), shares)
 	t.Logf("Jain index %.5f over 60 contracts with shares 1:2:4", index)
 	if index < 0.99 {
-		t.Errorf("Jain index is %.5f", index)
+		t.Errorf("Jain index is %.5f, want at least 0.99", index)
 	}
 }
 
@@ -235,13 +235,13 @@
 		t.Errorf("got %+v", refusal)
 	}
 	if due, ok := q.NextDeadline(); !ok || !due.Equal(begin.Add(4500*time.Millisecond)) {
-		t.Errorf("next deadline %v", due)
+		t.Errorf("next deadline is %v, want 4.5 s after the start", due)
 	}
 	if early := q.Expire(begin.Add(4 * time.Second)); len(early) != 0 {
-		t.Errorf("expired early: %v", early)
+		t.Errorf("expired before the deadline: %v, want none", early)
 	}
 	if late := q.Expire(begin.Add(4500 * time.Millisecond)); len(late) != 5 || q.Len() != 0 {
-		t.Errorf("expired %d, %d left", len(late), q.Len())
+		t.Errorf("expired %d, %d left, want 5 expired and none left", len(late), q.Len())
 	}
 }
 
--- a/coord/fencing/fencing.go
+++ b/coord/fencing/fencing.go
@@ -71,31 +71,31 @@
 // NewOwner returns an owner without a grant.
 func NewOwner(options Options) *Owner { return &Owner{options: options} }
 
-// Acquired records a grant. asked is when the request was sent, now when the answer
+// Acquired records a grant. sent is when the request was sent, now when the answer
 // arrived.
 //
 // An engine that does not enforce numbers may still accept orders of the previous
 // owner: for that owner's whole lease, which cannot have begun after this grant,
 // plus LongestOrder for an order sent at its end. Only waiting for both excludes
 // two concurrent owners; an engine that enforces numbers needs no wait.
-func (o *Owner) Acquired(number uint64, first bool, asked, now time.Time) {
+func (o *Owner) Acquired(number uint64, first bool, sent, now time.Time) {
 	o.number = number
 	o.from = now
 	if !first && !o.options.Enforced {
 		wait := o.options.Lease + o.options.LongestOrder
 		o.from = now.Add(wait + wait/driftDivisor)
 	}
-	o.until = asked.Add(o.options.Lease)
+	o.until = sent.Add(o.options.Lease)
 }
 
-// Renewed records the answer to a renewal. asked is when the renewal was sent. If
+// Renewed records the answer to a renewal. sent is when the renewal was sent. If
 // ok is false, the owner gives no more orders.
-func (o *Owner) Renewed(ok bool, asked time.Time) {
+func (o *Owner) Renewed(ok bool, sent time.Time) {
 	if !ok {
 		o.until = time.Time{}
 		return
 	}
-	if until := asked.Add(o.options.Lease); until.After(o.until) && !o.until.IsZero() {
+	if until := sent.Add(o.options.Lease); until.After(o.until) && !o.until.IsZero() {
 		o.until = until
 	}
 }
--- a/coord/fencing/fencing_test.go
+++ b/coord/fencing/fencing_test.go
@@ -29,7 +29,7 @@
 // answer is a reply of the table in transit to an owner.
 type answer struct {
 	arrives time.Duration
-	asked   time.Duration
+	sent    time.Duration
 	number  uint64
 	first   bool
 	renewed bool
@@ -90,7 +90,7 @@
 	if now < c.partitionedUntil {
 		return
 	}
-	reply := answer{arrives: now + time.Duration(random.IntN(500))*time.Millisecond, asked: now}
+	reply := answer{arrives: now + time.Duration(random.IntN(500))*time.Millisecond, sent: now}
 	switch {
 	case random.IntN(800) == 0:
 		c.incarnation++
@@ -111,9 +111,9 @@
 		}
 		if a.number > c.number {
 			c.number = a.number
-			c.owner.Acquired(a.number, a.first, start.Add(a.asked), start.Add(now))
+			c.owner.Acquired(a.number, a.first, start.Add(a.sent), start.Add(now))
 		} else if a.number == 0 {
-			c.owner.Renewed(a.renewed, start.Add(a.asked))
+			c.owner.Renewed(a.renewed, start.Add(a.sent))
 		}
 		return true
 	})
--- a/coord/founding/founding.go
+++ b/coord/founding/founding.go
@@ -53,7 +53,7 @@
 
 // Decide reports whether the process founds the log, and returns the founders:
 // the process itself and others with a disk, spread evenly over all data centres.
-func Decide(v View) (founders []Process, found bool) {
+func Decide(v View) (founders []Process, founds bool) {
 	if !v.Bootstrap || !v.Self.Disk || v.Self.Cluster != "" || v.Up < Settle || v.UnansweredSeeds > 0 {
 		return nil, false
 	}
--- a/coord/founding/members.go
+++ b/coord/founding/members.go
@@ -51,7 +51,7 @@
 
 const (
 	// presentWithin is how recently a process must have been heard from to count
-	// as presentWithin.
+	// as present.
 	presentWithin = 1500 * time.Millisecond
 	// lostAfter is how long a voter must be silent before it is removed, provided
 	// that enough other voters are running. It is longer than a restarting or
--- a/coord/freshness/freshness_test.go
+++ b/coord/freshness/freshness_test.go
@@ -52,7 +52,7 @@
 	expect(t, tracker, at(3_000), freshness.Fresh)
 	expect(t, tracker, at(3_001), freshness.CutOff)
 	if got := tracker.State(at(5_000)).Reason; !strings.HasPrefix(got, "only 1 of the voting") {
-		t.Errorf("reason shown to the operator is %q", got)
+		t.Errorf("reason is %q, want the number of voting instances that answered", got)
 	}
 }
 
--- a/coord/membership/delta.go
+++ b/coord/membership/delta.go
@@ -17,7 +17,7 @@
 	// Whole means that Joined lists every member.
 	Whole bool `json:"whole"`
 	// Warm means that a server that is not listed is gone. A control instance
-	// that has just started cannot tell yet.
+	// that has just started does not know which servers are gone.
 	Warm bool `json:"warm"`
 	// Lease is how long the directory lists a server after its last
 	// announcement.
@@ -111,10 +111,10 @@
 	version uint64
 	warm    bool
 	members map[uint32]Announcement
-	// held are members of the previous directory that a newly started control
+	// retained are members of the previous directory that a newly started control
 	// instance does not list yet. Dropping them would leave an entry without
 	// servers after a restart of control.
-	held map[string]Announcement
+	retained map[string]Announcement
 	// leaving maps servers that another control instance reported as leaving to
 	// the time by which the current instance must know it as well.
 	leaving map[string]time.Time
@@ -147,7 +147,7 @@
 	}
 	v.epoch, v.version, v.warm = d.Epoch, d.Version, d.Warm
 	v.merge(d, last)
-	v.hold(last)
+	v.retain(last)
 	return true
 }
 
@@ -177,17 +177,17 @@
 	}
 }
 
-// hold keeps the servers in last that are not listed any more while the control
+// retain keeps the servers in last that are not listed any more while the control
 // instance is not warm.
-func (v *View) hold(last map[string]Announcement) {
-	v.held = nil
+func (v *View) retain(last map[string]Announcement) {
+	v.retained = nil
 	if v.warm {
 		return
 	}
 	for _, m := range v.members {
 		delete(last, m.Server)
 	}
-	v.held = last
+	v.retained = last
 }
 
 // rememberLeaving keeps the servers that the previous control instance reported
@@ -218,8 +218,8 @@
 }
 
 func (v *View) byServer() map[string]Announcement {
-	all := make(map[string]Announcement, len(v.members)+len(v.held))
-	for server, m := range v.held {
+	all := make(map[string]Announcement, len(v.members)+len(v.retained))
+	for server, m := range v.retained {
 		all[server] = m
 	}
 	for _, m := range v.members {
@@ -230,11 +230,11 @@
 
 // Servers returns the members, sorted by name.
 func (v *View) Servers() []Announcement {
-	all := make([]Announcement, 0, len(v.members)+len(v.held))
+	all := make([]Announcement, 0, len(v.members)+len(v.retained))
 	for _, m := range v.members {
 		all = append(all, m)
 	}
-	for _, m := range v.held {
+	for _, m := range v.retained {
 		all = append(all, m)
 	}
 	for i := range all {
--- a/coord/membership/membership_test.go
+++ b/coord/membership/membership_test.go
@@ -58,7 +58,7 @@
 	gone := start.Add(lease)
 	d.Expire(gone)
 	if err := d.Announce(announcement("a", 4), gone); err != membership.ErrStale {
-		t.Errorf("after the lease expired: %v", err)
+		t.Errorf("after the lease expired: %v, want ErrStale", err)
 	}
 	restarted := announcement("a", 1)
 	restarted.Incarnation = 2
@@ -78,19 +78,20 @@
 	mustAnnounce(t, restarted, announcement("a", 2), start)
 	view.Apply(restarted.Delta(view.Epoch(), view.Version(), start), start)
 	if got := names(view.Servers()); !slices.Equal(got, []string{"a", "b"}) {
-		t.Errorf("while the instance is not warm: %v", got)
+		t.Errorf("while the instance is not warm: %v, want a and b", got)
 	}
 	warm := start.Add(lease)
 	mustAnnounce(t, restarted, announcement("a", 3), warm.Add(-1))
 	restarted.Publish(warm)
 	view.Apply(restarted.Delta(view.Epoch(), view.Version(), warm), warm)
 	if got := names(view.Servers()); !slices.Equal(got, []string{"a"}) {
-		t.Errorf("once it is warm: %v", got)
+		t.Errorf("once it is warm: %v, want a", got)
 	}
 }
 
-// An entry switches to a control instance that does not know yet that a server is
-// leaving. Selecting that server again would send it work that it refuses.
+// An entry switches to a control instance that has not yet received the notice that
+// a server is leaving. The entry would otherwise select that server again and send
+// it requests that it refuses.
 func TestLaggingControlInstanceDoesNotUndoLeave(t *testing.T) {
 	ahead, behind, view := newDirectory(1), newDirectory(2), membership.NewView()
 	mustAnnounce(t, ahead, leaving("a", 2), start)
@@ -98,7 +99,7 @@
 	view.Apply(ahead.Delta(0, 0, start), start)
 	view.Apply(behind.Delta(view.Epoch(), view.Version(), start), start)
 	if servers := view.Servers(); !servers[0].Leaving {
-		t.Errorf("got %+v", servers)
+		t.Errorf("got %+v, want a server that is leaving", servers)
 	}
 }
 
@@ -127,7 +128,7 @@
 		mustAnnounce(t, d, announcement(fmt.Sprint("s", i), 1), start)
 	}
 	if err := d.Announce(announcement("one-more", 1), start); err != membership.ErrFull {
-		t.Errorf("a ninth server: %v", err)
+		t.Errorf("a ninth server: %v, want ErrFull", err)
 	}
 }
 
@@ -149,11 +150,11 @@
 	d.Publish(start)
 	delta := d.Delta(view.Epoch(), view.Version(), start)
 	if len(delta.Loads) != 1 || len(delta.Joined) != 0 || delta.Whole {
-		t.Errorf("delta %+v", delta)
+		t.Errorf("delta is %+v, want only one load", delta)
 	}
 	view.Apply(delta, start)
 	if got := view.Servers()[0].Load.Running; got != 5 {
-		t.Errorf("running %d", got)
+		t.Errorf("running = %d, want 5", got)
 	}
 }
 
--- a/coord/placement/advice.go
+++ b/coord/placement/advice.go
@@ -61,9 +61,9 @@
 
 // Advisor keeps the demand of the last day. It is not safe for concurrent use.
 type Advisor struct {
-	view   *View
-	groups map[group]*history
-	begun  time.Time
+	view          *View
+	groups        map[group]*history
+	observedSince time.Time
 }
 
 // history holds the peak demand in each bucket of the last day.
@@ -84,8 +84,8 @@
 
 // Observe records the current state of the directory.
 func (a *Advisor) Observe(announced []membership.Announcement, now time.Time) {
-	if a.begun.IsZero() {
-		a.begun = now
+	if a.observedSince.IsZero() {
+		a.observedSince = now
 	}
 	a.view = NewView(announced, now)
 	bucket := now.UnixNano() / int64(adviceBucket)
@@ -144,7 +144,7 @@
 		PeakPinned:   int(highest.demand.pinned),
 		Limit:        LimitBatches,
 		Stoppable:    []string{},
-		Observed:     min(now.Sub(a.begun), adviceBuckets*adviceBucket),
+		Observed:     min(now.Sub(a.observedSince), adviceBuckets*adviceBucket),
 	}
 	if highest.demand.bySlots() > highest.demand.byBatches() {
 		advice.Limit = LimitSlots
--- a/coord/prefixcache/index.go
+++ b/coord/prefixcache/index.go
@@ -137,8 +137,8 @@
 	epoch      uint64
 	next       uint64
 	// recent holds *entry, the most recently learnt first.
-	recent *list.List
-	held   map[Block]*list.Element
+	recent   *list.List
+	elements map[Block]*list.Element
 }
 
 type entry struct {
@@ -149,7 +149,7 @@
 }
 
 func newCache() *cache {
-	return &cache{recent: list.New(), held: make(map[Block]*list.Element)}
+	return &cache{recent: list.New(), elements: make(map[Block]*list.Element)}
 }
 
 // learn starts with the last block, so that the end of a prefix is evicted
@@ -157,12 +157,12 @@
 func (c *cache) learn(chain []Block, lifetime uint64, limit int) {
 	for i := len(chain) - 1; i >= 0; i-- {
 		fresh := entry{block: chain[i], expires: c.dispatches + lifetime}
-		if element, known := c.held[chain[i]]; known {
+		if element, known := c.elements[chain[i]]; known {
 			*element.Value.(*entry) = fresh
 			c.recent.MoveToFront(element)
 			continue
 		}
-		c.held[chain[i]] = c.recent.PushFront(&fresh)
+		c.elements[chain[i]] = c.recent.PushFront(&fresh)
 	}
 	c.trim(limit)
 }
@@ -176,14 +176,14 @@
 
 func (c *cache) remove(blocks []Block) {
 	for _, block := range blocks {
-		if element, known := c.held[block]; known {
+		if element, known := c.elements[block]; known {
 			c.drop(element)
 		}
 	}
 }
 
 func (c *cache) drop(element *list.Element) {
-	delete(c.held, element.Value.(*entry).block)
+	delete(c.elements, element.Value.(*entry).block)
 	c.recent.Remove(element)
 }
 
@@ -221,7 +221,7 @@
 }
 
 func (c *cache) trust(block Block, doubtLifetime uint64) float64 {
-	element, known := c.held[block]
+	element, known := c.elements[block]
 	if !known {
 		return 0
 	}
--- a/coord/prefixcache/index_test.go
+++ b/coord/prefixcache/index_test.go
@@ -15,7 +15,7 @@
 	prompt := bytes.Repeat([]byte("x"), 3*BlockBytes+5)
 	base := Chain(ref, prompt)
 	if len(base) != 3 || base[0] == base[1] {
-		t.Fatalf("%x", base)
+		t.Fatalf("chain is %x", base)
 	}
 	changed := bytes.Clone(prompt)
 	changed[BlockBytes] = 'y'
@@ -168,8 +168,8 @@
 				if got, want := index.Expected("s", chain), model.expected(chain); got != want {
 					t.Fatalf("expected %v blocks of chain %v, want %v", got, chain, want)
 				}
-				if c := index.servers["s"]; c != nil && (len(c.held) > small.Blocks || c.recent.Len() != len(c.held)) {
-					t.Fatalf("%d blocks held, %d in order", len(c.held), c.recent.Len())
+				if c := index.servers["s"]; c != nil && (len(c.elements) > small.Blocks || c.recent.Len() != len(c.elements)) {
+					t.Fatalf("%d blocks held, %d in order", len(c.elements), c.recent.Len())
 				}
 			},
 		})
--- a/coord/retry/retry.go
+++ b/coord/retry/retry.go
@@ -77,8 +77,9 @@
 // Budget holds the retry budgets. It is not safe for concurrent use.
 type Budget struct {
 	limits Limits
-	// total and spent are the amounts missing from the full budgets; a contract
-	// with a full budget has no entry.
+	// total is the number of retries taken from the total budget and not yet
+	// replenished, spent that for each contract's budget; a contract with a full
+	// budget has no entry.
 	total float64
 	spent map[string]float64
 }
@@ -91,18 +92,19 @@
 // Began replenishes the budgets for a first attempt.
 func (b *Budget) Began(contract string) {
 	b.total = math.Max(0, b.total-b.limits.Ratio)
-	left, spent := b.spent[contract]
-	if !spent {
+	used, known := b.spent[contract]
+	if !known {
 		return
 	}
-	if left -= b.limits.Ratio; left <= 0 {
+	if used -= b.limits.Ratio; used <= 0 {
 		delete(b.spent, contract)
 		return
 	}
-	b.spent[contract] = left
+	b.spent[contract] = used
 }
 
-// Next decides whether the request is retried and takes the retry from the budgets.
+// Next decides whether the request is retried and, if so, takes the retry from the
+// budgets.
 func (b *Budget) Next(e Ended) Decision {
 	if reason := b.refusal(e); reason != ReasonNone {
 		return Decision{Reason: reason}
@@ -117,8 +119,8 @@
 }
 
 func (b *Budget) refusal(e Ended) Reason {
-	fate := Failure{Outcome: e.Outcome, Idempotent: e.Idempotent, Attempts: e.Attempt, MaxAttempts: b.limits.Attempts}
-	if reason := fate.Refusal(); reason != ReasonNone {
+	failure := Failure{Outcome: e.Outcome, Idempotent: e.Idempotent, Attempts: e.Attempt, MaxAttempts: b.limits.Attempts}
+	if reason := failure.Refusal(); reason != ReasonNone {
 		return reason
 	}
 	switch {
--- a/coord/retry/retry_test.go
+++ b/coord/retry/retry_test.go
@@ -53,7 +53,7 @@
 	budget.Began("a")
 	budget.Began("a")
 	if got := next("a"); got != retry.ReasonNone {
-		t.Errorf("after two first attempts: %q", got)
+		t.Errorf("after two first attempts: %q, want a retry", got)
 	}
 }
 
@@ -72,10 +72,10 @@
 	})
 	t.Logf("attempts per request: with budget %.2f, naive %.2f", budgeted, naive)
 	if limit := 1 + retry.DefaultLimits.Ratio + retry.DefaultLimits.PerContract/stormRequests; budgeted > limit {
-		t.Errorf("%.3f attempts per request, more than the budget's %.3f", budgeted, limit)
+		t.Errorf("%.3f attempts per request with a budget, want at most %.3f", budgeted, limit)
 	}
 	if naive < 2*budgeted {
-		t.Errorf("naive retries make %.2f attempts per request, too few for a retry storm", naive)
+		t.Errorf("naive retries make %.2f attempts per request, want at least twice those with a budget", naive)
 	}
 }
 
@@ -103,13 +103,12 @@
 	return float64(attempts) / stormRequests
 }
 
-// Both edges call Refusal for an attempt that failed. A wrong result runs a booking twice, or abandons a read that
-// another server would have answered.
+// A wrong result of Refusal would run a booking twice, or fail a read that another server would have answered.
 func TestRefusal(t *testing.T) {
 	tests := []struct {
-		name string
-		fate retry.Failure
-		want retry.Reason
+		name    string
+		failure retry.Failure
+		want    retry.Reason
 	}{
 		{"a booking that did not run", retry.Failure{Outcome: outcome.NotRun, Attempts: 1, MaxAttempts: 2}, retry.ReasonNone},
 		{"a booking that may have run", retry.Failure{Outcome: outcome.Unknown, Attempts: 1, MaxAttempts: 2}, retry.ReasonMayHaveRun},
@@ -118,7 +117,7 @@
 		{"a booking that never ran, without attempts left", retry.Failure{Outcome: outcome.NotRun, Attempts: 2, MaxAttempts: 2}, retry.ReasonAttempts},
 	}
 	for _, test := range tests {
-		if got := test.fate.Refusal(); got != test.want {
+		if got := test.failure.Refusal(); got != test.want {
 			t.Errorf("%s: %q, want %q", test.name, got, test.want)
 		}
 	}
--- a/coord/roster/roster.go
+++ b/coord/roster/roster.go
@@ -51,17 +51,17 @@
 }
 
 // Heartbeat reports only that an incarnation is alive. Most announcements contain
-// no other news for daemons.
+// no other change that daemons need.
 type Heartbeat struct {
 	ID       string `json:"id"`
 	Born     int64  `json:"born"`
 	Sequence int64  `json:"sequence"`
 }
 
-// beatInterval is the minimum time between two changes of an entry that report
-// only that its server is alive. Daemons forward each change to others, and a
-// heartbeat of each of 600 servers every second would be most of that traffic.
-const beatInterval = 4 * time.Second
+// heartbeatInterval is the minimum time between two changes of an entry that
+// report only that its server is alive. Daemons forward each change to others, and
+// one heartbeat per second from each of 600 servers would be most of that traffic.
+const heartbeatInterval = 4 * time.Second
 
 // Entry is a server as known to this daemon.
 type Entry struct {
@@ -94,13 +94,13 @@
 	return &Roster{entries: make(map[string]*Entry), addresses: make(map[string][]string)}
 }
 
-// Apply applies an announcement. news reports whether it is the newest one of its
-// server, material whether it contains more than that the server is alive.
+// Apply applies an announcement. newest reports whether it is the newest one of its
+// server, material whether it reports more than that the server is alive.
 //
 // A heartbeat that was delayed by a partition may arrive after its sender crashed
 // and another incarnation registered at the address. Its earlier start time
 // identifies it, and it must not list the dead server again.
-func (r *Roster) Apply(s Server, now time.Time) (news, material bool) {
+func (r *Roster) Apply(s Server, now time.Time) (newest, material bool) {
 	known, ok := r.entries[s.ID]
 	if ok && !s.newer(&known.Server) {
 		return false, false
@@ -122,7 +122,7 @@
 	switch {
 	case material:
 		r.recordMaterial(entry, now)
-	case now.Sub(known.changedAt) < beatInterval:
+	case now.Sub(known.changedAt) < heartbeatInterval:
 		entry.Change, entry.Material, entry.changedAt = known.Change, known.Material, known.changedAt
 	default:
 		r.change++
--- a/coord/roster/roster_test.go
+++ b/coord/roster/roster_test.go
@@ -16,7 +16,7 @@
 	r := New()
 	r.Apply(Server{ID: "old", Born: 100, Sequence: 3, Address: "a:1"}, start)
 	r.Apply(Server{ID: "new", Born: 200, Sequence: 1, Address: "a:1"}, start)
-	if news, _ := r.Apply(Server{ID: "old", Born: 100, Sequence: 4, Address: "a:1"}, start); news {
+	if newest, _ := r.Apply(Server{ID: "old", Born: 100, Sequence: 4, Address: "a:1"}, start); newest {
 		e, _ := r.Get("old")
 		if !e.Gone {
 			t.Error("the late heartbeat revived the old server")
@@ -32,7 +32,7 @@
 func TestLateHeartbeatOfUnknownServerIsIgnored(t *testing.T) {
 	r := New()
 	r.Apply(Server{ID: "new", Born: 200, Sequence: 1, Address: "a:1"}, start)
-	if news, _ := r.Apply(Server{ID: "old", Born: 100, Sequence: 9, Address: "a:1"}, start); news {
+	if newest, _ := r.Apply(Server{ID: "old", Born: 100, Sequence: 9, Address: "a:1"}, start); newest {
 		t.Error("a server that was superseded at its address was accepted")
 	}
 }
@@ -97,9 +97,9 @@
 	r.Apply(Server{ID: "a", Born: 1, Sequence: 1, Address: "a:1"}, start)
 	r.Apply(Server{ID: "b", Born: 1, Sequence: 1, Address: "b:1"}, start)
 	seen, material := r.Change(), r.Material()
-	soon, later := start.Add(beatInterval-1), start.Add(beatInterval)
+	soon, later := start.Add(heartbeatInterval-1), start.Add(heartbeatInterval)
 	if _, material := r.Apply(Server{ID: "a", Born: 1, Sequence: 2, Address: "a:1"}, soon); material {
-		t.Error("a heartbeat without news counts as material")
+		t.Error("an announcement of an unchanged server counts as material")
 	}
 	if changed := r.Since(seen); len(changed) != 0 {
 		t.Errorf("a heartbeat soon after the previous one is listed as a change: %v", changed)
--- a/coord/startup/startup.go
+++ b/coord/startup/startup.go
@@ -35,7 +35,7 @@
 
 // Until returns the time until which a request waits at an entry that started at
 // started and at which waiting other requests wait. It is no later than latest,
-// after which the request is no longer worth starting. ok is false if the request
+// after which the request should no longer be started. ok is false if the request
 // is refused immediately.
 func (o Options) Until(started, now, latest time.Time, waiting int) (until time.Time, ok bool) {
 	until = started.Add(o.Settle)
--- a/coord/suspicion/strikes.go
+++ b/coord/suspicion/strikes.go
@@ -25,11 +25,11 @@
 
 const (
 	// strikeLimit is the number of server crashes from which a request is
-	// refused: one crash happens without the request's fault, and a second one by
-	// coincidence when many servers crash.
+	// refused: one crash may have another cause than the request, and so may a
+	// second one when many servers crash.
 	strikeLimit = 3
 	// strikeLifetime is how long a request is refused after its last strike; a
-	// caller that retries it gives up long before.
+	// caller that retries it stops doing so long before.
 	strikeLifetime = 5 * time.Minute
 	// maxStrikeRecords bounds the number of remembered requests.
 	maxStrikeRecords = 4096
--- a/coord/suspicion/suspicion.go
+++ b/coord/suspicion/suspicion.go
@@ -58,11 +58,12 @@
 	State       State       `json:"state"`
 	// Crashes counts the crashes of servers that had the request.
 	Crashes int `json:"crashes"`
-	// Token identifies the trial, and Lease is its end in milliseconds since
-	// 1970.
+	// Token identifies the trial, and Lease is its end in milliseconds since the
+	// Unix epoch.
 	Token string `json:"token,omitempty"`
 	Lease int64  `json:"lease,omitempty"`
-	// Expires is in milliseconds since 1970, by the log's clock.
+	// Expires is the expiry time by the log's clock, in milliseconds since the Unix
+	// epoch.
 	Expires int64 `json:"expires"`
 	// Revision is the log index of the record's last change.
 	Revision uint64 `json:"revision"`
@@ -175,11 +176,11 @@
 	if r.State == Convicted {
 		return Record{}, false
 	}
-	tried := r.State == OnTrial
+	onTrial := r.State == OnTrial
 	r.Fingerprint, r.Token, r.Lease = fingerprint, "", 0
 	r.Crashes++
 	r.State, r.Expires = Suspect, clock.Add(t.limits.Suspect).UnixMilli()
-	if tried && alone {
+	if onTrial && alone {
 		r.State, r.Expires = Convicted, clock.Add(t.limits.Convicted).UnixMilli()
 	}
 	return r, true
