--- a/coord/broker/broker_test.go
+++ b/coord/broker/broker_test.go
@@ -34,7 +34,7 @@
 		w := NewWindow(WindowOptions{})
 		mean := drive(w, knee, 250*time.Millisecond, 4000)
 		if mean < 0.7*float64(knee) || mean > 1.5*float64(knee)+1 {
-			t.Errorf("knee %d: mean limit %.1f", knee, mean)
+			t.Errorf("knee %d: mean limit %.1f, want 0.7 to 1.5 times the knee, plus 1", knee, mean)
 		}
 	}
 }
@@ -44,7 +44,7 @@
 	w := NewWindow(WindowOptions{})
 	drive(w, 8, 250*time.Millisecond, 2000)
 	if mean := drive(w, 8, 2*time.Second, 4000); mean < 5 {
-		t.Errorf("mean limit %.1f for a slower store with a knee of 8", mean)
+		t.Errorf("mean limit %.1f for a slower store with a knee of 8, want at least 5", mean)
 	}
 }
 
@@ -56,13 +56,13 @@
 	now := time.Unix(0, 0)
 	b.Ask(Ask{Key: key("dead", 1)}, now)
 	if got := b.Ask(Ask{Key: key("live", 1)}, now); len(got) != 0 {
-		t.Fatalf("granted beyond the limit: %v", got)
+		t.Fatalf("granted beyond the limit: %v, want none", got)
 	}
 	now = now.Add(defaultLease - time.Second)
 	b.Ask(Ask{Key: key("live", 1)}, now)
 	got := b.Tick(now.Add(time.Second))
 	if len(got) != 1 || got[0].Key != key("live", 1) || b.Expired() != 1 {
-		t.Fatalf("the permit did not expire: %v", got)
+		t.Fatalf("granted after the permit's lease: %v, want one permit for the live agent", got)
 	}
 }
 
@@ -73,19 +73,19 @@
 	b.Ask(Ask{Key: key("b", 1), Demand: 1}, now)
 	b.Ask(Ask{Key: key("c", 1), Demand: 5}, now)
 	if got := b.Loaded(key("a", 1), time.Second, now); got[0].Key != key("c", 1) {
-		t.Fatalf("the load with the highest demand was not granted first: %v", got)
+		t.Fatalf("granted %v, want the load of c, which has the highest demand", got)
 	}
 	now = now.Add(10 * time.Second)
 	b.Ask(Ask{Key: key("d", 1), Demand: 9}, now)
 	if got := b.Loaded(key("c", 1), time.Second, now); got[0].Key != key("b", 1) {
-		t.Fatalf("the oldest request was not granted: %v", got)
+		t.Fatalf("granted %v, want the load of b, the oldest request", got)
 	}
 }
 
-// TestSyncKeepsPermitsWithinTheLimit sends random reports of agents that die, restart
+// TestSyncKeepsPermitsWithinLimit sends random reports of agents that die, restart
 // and repeat reports. More loads in flight than the limit would slow down every load at
 // the site.
-func TestSyncKeepsPermitsWithinTheLimit(t *testing.T) {
+func TestSyncKeepsPermitsWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 2
 		b := New(Options{Window: WindowOptions{Initial: limit, Max: limit}})
--- a/coord/placement/ledger.go
+++ b/coord/placement/ledger.go
@@ -8,9 +8,9 @@
 	"github.com/rosemarypass/rosemarypass/coord/membership"
 )
 
-// maxLedger bounds the dispatches and ends remembered for a server whose
+// maxRecords bounds the dispatches and ends remembered for a server whose
 // reports have stopped.
-const maxLedger = 256
+const maxRecords = 256
 
 // ledger counts one viewer's own dispatches to a server since its last report.
 type ledger struct {
@@ -46,8 +46,8 @@
 }
 
 func (l *ledger) appendRecord(r record) {
-	if len(l.records) == maxLedger {
-		l.records = slices.Delete(l.records, 0, maxLedger/2)
+	if len(l.records) == maxRecords {
+		l.records = slices.Delete(l.records, 0, maxRecords/2)
 	}
 	l.records = append(l.records, r)
 	l.sum += r.delta
--- a/coord/placement/packer.go
+++ b/coord/placement/packer.go
@@ -13,8 +13,8 @@
 	batchTarget = 0.75
 	slotTarget  = 0.75
 	// shrinkTime is the time constant with which the number of servers in use
-	// falls with demand. It rises immediately, because a queue would form
-	// otherwise.
+	// falls with demand. The number rises with demand immediately, because a queue
+	// would form otherwise.
 	shrinkTime = 30 * time.Second
 )
 
@@ -82,16 +82,16 @@
 		d := view.demandOf(members)
 		n := float64(len(members))
 		target := n + p.packing*(d.needed()-n)
-		known, ok := p.need[g]
+		previous, ok := p.need[g]
 		if !ok {
-			known = n
+			previous = n
 		}
-		p.need[g] = min(max(target, target+(known-target)*keep), n)
+		p.need[g] = min(max(target, target+(previous-target)*keep), n)
 	}
 }
 
-// learn updates the estimates from the view.
-func (s *Selector) learn(now time.Time) {
+// updateEstimates updates the estimates from the view.
+func (s *Selector) updateEstimates(now time.Time) {
 	reported, own, loads, sum := 0, 0, 0, 0
 	for i := range s.view.servers {
 		server := &s.view.servers[i]
--- a/coord/placement/placement_test.go
+++ b/coord/placement/placement_test.go
@@ -50,13 +50,13 @@
 	desk := membership.Announcement{Server: "desk", Kind: membership.KindService, Pool: "desk"}
 	s := selector(SelectorOptions{}, leaving, other, desk, engine("tried", idle()))
 	if got, ok := s.Pick(newRequest(1), start); !ok || got.Server != "tried" {
-		t.Errorf("picked %q", got.Server)
+		t.Errorf("picked %q, want the server that passes every filter", got.Server)
 	}
 	if got, ok := s.Pick(newRequest(1, "tried"), start); ok {
 		t.Errorf("picked %q, which is excluded", got.Server)
 	}
 	if got, ok := s.Pick(Request{Kind: membership.KindService, Pool: "desk"}, start); !ok || got.Server != "desk" {
-		t.Errorf("picked %q for the service", got.Server)
+		t.Errorf("picked %q for the service, want desk", got.Server)
 	}
 }
 
@@ -103,12 +103,12 @@
 	busy.Running = 15
 	s := selector(SelectorOptions{}, engine("holds", busy), engine("empty", idle()))
 	if got, _ := s.Pick(newRequest(1), start); got.Server != "holds" {
-		t.Errorf("picked %q with room in the batch", got.Server)
+		t.Errorf("picked %q with room in the batch, want the holder", got.Server)
 	}
 	busy.Running = 40
 	s = selector(SelectorOptions{}, engine("holds", busy), engine("empty", idle()))
 	if got, _ := s.Pick(newRequest(1), start); got.Server != "empty" {
-		t.Errorf("picked %q behind a queue", got.Server)
+		t.Errorf("picked %q while the holder has a queue, want the empty server", got.Server)
 	}
 }
 
@@ -192,7 +192,7 @@
 		}
 	}
 	if restarted == 0 || restarted > 30 {
-		t.Errorf("the restarted server got %d of 60 loads", restarted)
+		t.Errorf("the restarted server got %d of 60 loads, want 1 to 30", restarted)
 	}
 }
 
@@ -213,7 +213,7 @@
 		s.Finished(got.Server, adapter(1), ran, start)
 	}
 	if failed == 0 || failed > 10 {
-		t.Errorf("%d of 100 requests went to the server that fails", failed)
+		t.Errorf("%d of 100 requests went to the server that fails, want 1 to 10", failed)
 	}
 	if got, _ := s.Pick(newRequest(1), start.Add(time.Minute)); got.Server != "fails" {
 		t.Errorf("after a minute the request went to %q, want the server that failed before", got.Server)
@@ -227,7 +227,7 @@
 	s.Dispatched("a", adapter(2), start)
 	s.Declined("a", start)
 	if c := firstCandidate(s); c.Obtainable > 0 || c.Failures != 0 || c.InFlight != 0 {
-		t.Errorf("after a decline: %+v", c)
+		t.Errorf("after a decline: %+v, want no slots, failures or requests in flight", c)
 	}
 	next := engine("a", idle())
 	next.Sequence = 2
@@ -269,11 +269,11 @@
 	}
 	s.Observe(announce(2, 2), start.Add(time.Second))
 	if got := s.packer.active(g); got < 9 {
-		t.Errorf("shrunk to %d servers within a second", got)
+		t.Errorf("shrunk to %d servers within a second, want at least 9", got)
 	}
 	s.Observe(announce(2, 3), start.Add(10*time.Minute))
 	if got := s.packer.active(g); got > 4 {
-		t.Errorf("%d servers for a sixth of the demand", got)
+		t.Errorf("%d servers for a sixth of the demand, want at most 4", got)
 	}
 	s.Observe(announce(12, 4), start.Add(10*time.Minute+time.Second))
 	if got := s.packer.active(g); got != 10 {
--- a/coord/placement/selector.go
+++ b/coord/placement/selector.go
@@ -89,7 +89,7 @@
 			s.prefixes.Forget(name)
 		}
 	}
-	s.learn(now)
+	s.updateEstimates(now)
 }
 
 // Dispatched records that a request was sent to a server.
--- a/coord/state/state_test.go
+++ b/coord/state/state_test.go
@@ -70,14 +70,14 @@
 	first := state.Command{PutContract: &state.PutContract{Expected: read.Revision, Contract: sampleContract("cascade", 20)}}
 	second := state.Command{PutContract: &state.PutContract{Expected: read.Revision, Contract: sampleContract("cascade", 30)}}
 	if won, change := m.Apply(10, first); won.Code != state.CodeOK || change.Contract.Revision != 10 {
-		t.Fatalf("first: %+v", won)
+		t.Fatalf("first write: %+v, want it applied", won)
 	}
 	lost, change := m.Apply(11, second)
 	if lost.Code != state.CodeConflict || change != nil {
-		t.Fatalf("second: %+v", lost)
+		t.Fatalf("second write: %+v, want a conflict", lost)
 	}
 	if winner := lost.Winner.Contract; winner.Limits.RequestsPerSecond != 20 || winner.Revision != 10 {
-		t.Errorf("the conflict returns %+v", winner)
+		t.Errorf("the conflict returns %+v, want the contract of the first write", winner)
 	}
 }
 
@@ -89,23 +89,23 @@
 	first := commands[0]
 	result, _ := m.Apply(10, first)
 	if result.Code != state.CodeOK || result.Index != 1 {
-		t.Errorf("retry: %+v", result)
+		t.Errorf("retry: %+v, want the first result", result)
 	}
 	other := createContract("cascade", 99)
 	other.OperationID = first.OperationID
 	if result, _ := m.Apply(11, other); result.Code != state.CodeReused {
-		t.Errorf("another command under the same id: %+v", result)
+		t.Errorf("another command under the same id: %+v, want CodeReused", result)
 	}
 	// A command of a proposer whose clock is behind does not set the machine's clock back.
 	expired := first
 	expired.Time = first.Time + state.OperationAge.Milliseconds()
 	if result, _ := m.Apply(12, expired); result.Code != state.CodeOK || result.Index != 1 {
-		t.Errorf("identical contract: %+v", result)
+		t.Errorf("identical contract: %+v, want CodeOK with the first index", result)
 	}
 	expired.PutContract = &state.PutContract{Contract: sampleContract("cascade", 77)}
 	expired.OperationID = "fresh"
 	if result, _ := m.Apply(13, expired); result.Code != state.CodeConflict {
-		t.Errorf("expired retry with another body: %+v", result)
+		t.Errorf("expired retry with another body: %+v, want a conflict", result)
 	}
 	if want := time.UnixMilli(expired.Time).UTC(); !m.Clock().Equal(want) {
 		t.Errorf("clock %s, want %s", m.Clock(), want)
@@ -357,11 +357,11 @@
 	}
 	result, _ := m.Apply(state.MaxOperations+1, state.Command{OperationID: "one more"})
 	if result.Code != state.CodeFull {
-		t.Errorf("%+v", result)
+		t.Errorf("one operation beyond the limit: %+v, want CodeFull", result)
 	}
 	result, _ = m.Apply(state.MaxOperations+2, state.Command{OperationID: "one more", Time: state.OperationAge.Milliseconds()})
 	if result.Code != state.CodeInvalid {
-		t.Errorf("after the others expired: %+v", result)
+		t.Errorf("after the others expired: %+v, want CodeInvalid for an empty command", result)
 	}
 }
 
--- a/coord/suspicion/strikes_test.go
+++ b/coord/suspicion/strikes_test.go
@@ -8,21 +8,21 @@
 // A request crashes each server that runs it, and its caller keeps retrying it.
 // After the third server it must not reach another one, because every other
 // request on those servers fails with each crash.
-func TestRequestIsHeldAfterThreeCrashes(t *testing.T) {
+func TestRequestIsRefusedAfterThreeCrashes(t *testing.T) {
 	s, now := NewStrikes(), time.Unix(1000, 0)
 	for i, server := range []string{"a", "b", "b", "c"} {
 		if s.Refused(7, now) {
-			t.Fatalf("the request is held before strike %d", i)
+			t.Fatalf("the request is refused before strike %d", i)
 		}
 		if isNew := s.Add(Strike{7, server}, now); isNew != (i != 2) {
-			t.Errorf("strike %d counts as new: %v", i, isNew)
+			t.Errorf("strike %d counts as new: %v, want the opposite", i, isNew)
 		}
 	}
 	if !s.Refused(7, now) || s.Refused(8, now) {
-		t.Error("after crashes of three servers the request should be held, and no other")
+		t.Error("after crashes of three servers the request should be refused, and no other")
 	}
 	if s.Refused(7, now.Add(strikeLifetime)) {
-		t.Error("the request is still held after its strikes have expired")
+		t.Error("the request is still refused after its strikes have expired")
 	}
 }
 
@@ -32,10 +32,10 @@
 		s.Add(Strike{i, "a"}, now)
 	}
 	if len(s.records) > maxStrikeRecords {
-		t.Errorf("%d requests are remembered", len(s.records))
+		t.Errorf("%d requests are remembered, want at most maxStrikeRecords", len(s.records))
 	}
 	s.Add(Strike{1 << 40, "a"}, now.Add(strikeLifetime))
 	if len(s.records) != 1 {
-		t.Errorf("%d requests are remembered after they have expired", len(s.records))
+		t.Errorf("%d requests are remembered after the others have expired, want 1", len(s.records))
 	}
 }
--- a/coord/suspicion/suspicion_test.go
+++ b/coord/suspicion/suspicion_test.go
@@ -104,7 +104,7 @@
 const steps = 4000
 
 // run sends and finishes requests at random. Each caller waits until its
-// request has ended before it retries it, and never gives up.
+// request has ended before it retries it, without a limit on retries.
 func (f *fleet) run(isolated bool) {
 	for range steps {
 		f.now = f.now.Add(50 * time.Millisecond)
@@ -131,7 +131,7 @@
 		f := newFleet(seed, "killer")
 		f.run(true)
 		if f.lost > 2 {
-			t.Errorf("seed %d: %d servers lost", seed, f.lost)
+			t.Errorf("seed %d: %d servers lost, want at most 2", seed, f.lost)
 		}
 		if f.refused["killer"] == 0 {
 			t.Errorf("seed %d: the poison request was never refused", seed)
@@ -162,7 +162,7 @@
 		t.Errorf("the innocent request got the verdict %s, want a trial", got)
 	}
 	if got := table.Records()[2]; got.Crashes != 2 {
-		t.Errorf("a repeated report was counted: %+v", got)
+		t.Errorf("record is %+v, want 2 crashes: a repeated report must not count", got)
 	}
 }
 
