--- a/coord/experiment/bound.go
+++ b/coord/experiment/bound.go
@@ -35,7 +35,7 @@
 }
 
 // clairvoyantStalls returns the stall of each request after the warm-up, under
-// eviction that knows the future.
+// eviction with knowledge of all future arrivals.
 func clairvoyantStalls(trace []arrival, size int) []time.Duration {
 	next := nextUses(trace)
 	held := make(map[catalogue.Ref]int)
--- a/coord/experiment/meter.go
+++ b/coord/experiment/meter.go
@@ -142,7 +142,8 @@
 }
 
 // countWaiting includes the requests that are still waiting at the end of the run.
-// Without them the policy with the longest waits would get the best result.
+// If they were left out, the policy with the longest waits would get the best
+// result.
 func (m *meter) countWaiting(w *world) {
 	for _, s := range w.servers {
 		for _, waiting := range s.waiting {
--- a/coord/experiment/policy.go
+++ b/coord/experiment/policy.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// ResidentFirst is Naive, except that it prefers a server that holds the adapter as
-// if it had one whole batch less load.
+// ResidentFirst is Naive, except that the load of a server that holds the adapter
+// counts as lower by one full batch.
 func ResidentFirst() Policy {
 	p := Naive()
 	p.Name = "resident-first"
--- a/coord/freshness/freshness.go
+++ b/coord/freshness/freshness.go
@@ -42,7 +42,7 @@
 	CutOff Kind = "cut-off"
 )
 
-// State is what a daemon knows about its copy at one time, and why.
+// State is a daemon's knowledge of its copy at one time, with the reason for it.
 type State struct {
 	Kind Kind `json:"kind"`
 	// AsOf is the timestamp of the last proof; zero if there is none.
--- a/coord/freshness/schedule_test.go
+++ b/coord/freshness/schedule_test.go
@@ -303,7 +303,7 @@
 	c := newCluster(seed)
 	d := &daemon{tracker: freshness.NewTracker(freshness.Options{})}
 	inject(c, d)
-	var v tally
+	var counts tally
 	for range ticks {
 		c.step()
 		if c.chance(1) {
@@ -317,14 +317,14 @@
 		}
 		switch {
 		case d.violates(c):
-			v.violations++
+			counts.violations++
 		case d.tracker.State(c.now).MayAdmit():
-			v.admitting++
+			counts.admitting++
 		default:
-			v.cutOff++
+			counts.cutOff++
 		}
 	}
-	return v
+	return counts
 }
 
 // Partitions, crashes, elections and delays occur in random order. A daemon that
@@ -333,15 +333,15 @@
 func TestNoAdmissionUnderSupersededContract(t *testing.T) {
 	var total tally
 	for seed := range uint64(seeds) {
-		v := run(seed, func(*cluster, *daemon) {})
-		if v.violations > 0 {
-			t.Errorf("seed %d: %d violations", seed, v.violations)
+		counts := run(seed, func(*cluster, *daemon) {})
+		if counts.violations > 0 {
+			t.Errorf("seed %d: %d violations", seed, counts.violations)
 		}
-		total.admitting += v.admitting
-		total.cutOff += v.cutOff
+		total.admitting += counts.admitting
+		total.cutOff += counts.cutOff
 	}
 	if total.admitting == 0 || total.cutOff == 0 {
-		t.Errorf("the schedules must reach both states: %+v", total)
+		t.Errorf("the schedules reach %+v, want both states", total)
 	}
 	t.Logf("%d seeds: admitting in %d ticks, cut off in %d", seeds, total.admitting, total.cutOff)
 }
@@ -355,8 +355,8 @@
 		})
 	}
 	for seed := range uint64(seeds) {
-		if v := runWithDiskLoss(seed, false); v.violations > 0 {
-			t.Errorf("seed %d: %d violations", seed, v.violations)
+		if counts := runWithDiskLoss(seed, false); counts.violations > 0 {
+			t.Errorf("seed %d: %d violations", seed, counts.violations)
 		}
 	}
 	// Of the 300 seeds, this one detects that an empty instance counts as a voter.
--- a/coord/outcome/outcome.go
+++ b/coord/outcome/outcome.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// Evidence is what one hop knows about a request that it tried to forward.
+// Evidence is one hop's record of a request that it tried to forward.
 type Evidence struct {
 	// Sent is false only if no byte of the request has left this hop or can still
 	// leave it.
--- a/coord/placement/placement.go
+++ b/coord/placement/placement.go
@@ -3,8 +3,8 @@
 // A View is an immutable snapshot of the announced servers. Filters exclude
 // servers, scorers estimate how many seconds the request would wait on each,
 // and Picker sums the scores; the server with the lowest total is chosen.
-// Selector maintains what one entry knows beyond the view: its own dispatches
-// since each load report.
+// Selector adds the state that only one entry has: its own dispatches since each
+// load report.
 package placement
 
 import (
--- a/coord/placement/placement_test.go
+++ b/coord/placement/placement_test.go
@@ -238,12 +238,12 @@
 }
 
 func TestLocalServerIsPreferredAmongEquals(t *testing.T) {
-	far, near := engine("far", idle(adapter(1))), engine("near", idle(adapter(1)))
-	far.DataCentre, near.DataCentre = "fold-bay", "press-hall"
-	far.Load.Running, near.Load.Running = 1, 1
+	remote, local := engine("far", idle(adapter(1))), engine("near", idle(adapter(1)))
+	remote.DataCentre, local.DataCentre = "fold-bay", "press-hall"
+	remote.Load.Running, local.Load.Running = 1, 1
 	picker := NewCustomPicker([]Filter{Serves}, []Scorer{QueueWait, DataCentre})
 	s := NewSelector(picker, SelectorOptions{DataCentre: "press-hall"})
-	s.Observe([]membership.Announcement{far, near}, start)
+	s.Observe([]membership.Announcement{remote, local}, start)
 	for range 50 {
 		if got, _ := s.Pick(newRequest(1), start); got.Server != "near" {
 			t.Fatalf("picked %q among equals", got.Server)
--- a/coord/prefixcache/chain.go
+++ b/coord/prefixcache/chain.go
@@ -1,9 +1,9 @@
 // Package prefixcache estimates how long a prefix of a prompt each server holds
 // in its engine's prefix cache.
 //
-// An Index learns from the viewer's own dispatches immediately and from the
+// An Index is updated by the viewer's own dispatches immediately and by the
 // engines' cache events when they arrive. It uses no clock: age is counted in
-// the viewer's own dispatches to the server, because requests are what evicts
+// the viewer's own dispatches to the server, because it is requests that evict
 // blocks from a cache.
 package prefixcache
 
--- a/coord/prefixcache/index.go
+++ b/coord/prefixcache/index.go
@@ -5,16 +5,16 @@
 // Options bounds an Index. Zero values select the defaults.
 type Options struct {
 	// Blocks is the maximum number of blocks remembered per server; the least
-	// recently learnt block is evicted first.
+	// recently recorded block is evicted first.
 	Blocks int
 	// Total is the maximum number of blocks remembered for all servers together,
 	// divided evenly among them. Without it, an entry with 600 servers would use
 	// hundreds of megabytes.
 	Total int
-	// Lifetime is for how many of the viewer's own dispatches to the server a
-	// block is trusted after it was last learnt.
+	// Lifetime is the number of the viewer's own dispatches to the server for
+	// which a block is trusted after it was last recorded.
 	Lifetime uint64
-	// DoubtLifetime is the same limit for blocks learnt before a gap in the
+	// DoubtLifetime is the same limit for blocks recorded before a gap in the
 	// server's events or a restart of its engine, counted from that gap or
 	// restart.
 	DoubtLifetime uint64
@@ -67,7 +67,7 @@
 		x.trimAll()
 	}
 	c.dispatches++
-	c.learn(chain, x.options.Lifetime, x.limit())
+	c.record(chain, x.options.Lifetime, x.limit())
 	c.expire()
 }
 
@@ -95,15 +95,15 @@
 // dropped, so that other senders' events cannot fill the memory.
 func (x *Index) Apply(e Event) {
 	c, known := x.servers[e.Server]
-	if !known || c.heard && e.Epoch < c.epoch {
+	if !known || c.eventSeen && e.Epoch < c.epoch {
 		return
 	}
-	late := c.heard && e.Epoch == c.epoch && e.Sequence < c.next
+	late := c.eventSeen && e.Epoch == c.epoch && e.Sequence < c.next
 	if !late {
 		c.checkOrder(e, x.options.DoubtLifetime)
 		// Blocks stored by a late event may have been removed by an event that is
 		// already applied; a late removal only lowers the estimate.
-		c.learn(e.Stored, x.options.Lifetime, x.limit())
+		c.record(e.Stored, x.options.Lifetime, x.limit())
 	}
 	c.remove(e.Removed)
 }
@@ -133,10 +133,10 @@
 // cache is the estimated content of one server's cache.
 type cache struct {
 	dispatches uint64
-	heard      bool
+	eventSeen  bool
 	epoch      uint64
 	next       uint64
-	// recent holds *entry, the most recently learnt first.
+	// recent holds *entry, the most recently recorded first.
 	recent   *list.List
 	elements map[Block]*list.Element
 }
@@ -152,9 +152,9 @@
 	return &cache{recent: list.New(), elements: make(map[Block]*list.Element)}
 }
 
-// learn starts with the last block, so that the end of a prefix is evicted
-// before its start, without which the other blocks are useless.
-func (c *cache) learn(chain []Block, lifetime uint64, limit int) {
+// record adds the blocks of a chain, starting with the last, so that the end of a
+// prefix is evicted before its start, without which the other blocks are useless.
+func (c *cache) record(chain []Block, lifetime uint64, limit int) {
 	for i := len(chain) - 1; i >= 0; i-- {
 		fresh := entry{block: chain[i], expires: c.dispatches + lifetime}
 		if element, known := c.elements[chain[i]]; known {
@@ -167,7 +167,7 @@
 	c.trim(limit)
 }
 
-// trim evicts the least recently learnt blocks beyond the limit.
+// trim evicts the least recently recorded blocks beyond the limit.
 func (c *cache) trim(limit int) {
 	for c.recent.Len() > limit {
 		c.drop(c.recent.Back())
@@ -190,15 +190,15 @@
 // checkOrder checks that the event is the next in order. After a gap or a
 // restart the cache may have lost any block without an event. Prompts would
 // then be sent to a server for a prefix that it has to compute again; the
-// shorter lifetime of doubtful blocks bounds for how long.
+// shorter lifetime of doubtful blocks limits how long this lasts.
 func (c *cache) checkOrder(e Event, lifetime uint64) {
-	if c.heard && (e.Epoch != c.epoch || e.Sequence != c.next) {
+	if c.eventSeen && (e.Epoch != c.epoch || e.Sequence != c.next) {
 		c.doubt(lifetime)
 	}
-	c.heard, c.epoch, c.next = true, e.Epoch, e.Sequence+1
+	c.eventSeen, c.epoch, c.next = true, e.Epoch, e.Sequence+1
 }
 
-// doubt marks blocks as doubtful, from the most recently learnt back to the
+// doubt marks blocks as doubtful, from the most recently recorded back to the
 // first one that is doubtful already: all blocks after that one are doubtful
 // too, and a second doubt does not extend their lifetime.
 func (c *cache) doubt(lifetime uint64) {
--- a/coord/prefixcache/index_test.go
+++ b/coord/prefixcache/index_test.go
@@ -50,71 +50,71 @@
 
 var small = Options{Blocks: 12, Lifetime: 10, DoubtLifetime: 4}
 
-// fact is what reference knows of one block.
-type fact struct{ learnt, order, doubted int }
+// referenceBlock is the state of one block in reference.
+type referenceBlock struct{ recordedAt, order, doubtedAt int }
 
-// reference is a simple model of Index for one server. It keeps the facts about
-// each block and derives everything else on demand.
+// reference is a simple model of Index for one server. It keeps the state of each
+// block and derives the trust in it on demand.
 type reference struct {
-	facts       map[Block]*fact
+	blocks      map[Block]*referenceBlock
 	now, orders int
-	heard       bool
+	eventSeen   bool
 	epoch, next uint64
 }
 
-func (r *reference) learn(chain []Block) {
+func (r *reference) record(chain []Block) {
 	for _, block := range slices.Backward(chain) {
 		r.orders++
-		r.facts[block] = &fact{learnt: r.now, order: r.orders, doubted: -1}
-		if len(r.facts) > small.Blocks {
+		r.blocks[block] = &referenceBlock{recordedAt: r.now, order: r.orders, doubtedAt: -1}
+		if len(r.blocks) > small.Blocks {
 			oldest := block
-			for other, f := range r.facts {
-				if f.order < r.facts[oldest].order {
+			for other, f := range r.blocks {
+				if f.order < r.blocks[oldest].order {
 					oldest = other
 				}
 			}
-			delete(r.facts, oldest)
+			delete(r.blocks, oldest)
 		}
 	}
 }
 
 func (r *reference) dispatched(chain []Block) {
 	r.now++
-	r.learn(chain)
-	for block := range r.facts {
+	r.record(chain)
+	for block := range r.blocks {
 		if r.remaining(block) <= 0 {
-			delete(r.facts, block)
+			delete(r.blocks, block)
 		}
 	}
 }
 
 func (r *reference) apply(e Event) {
-	if r.now == 0 || r.heard && e.Epoch < r.epoch {
+	if r.now == 0 || r.eventSeen && e.Epoch < r.epoch {
 		return
 	}
-	if !r.heard || e.Epoch > r.epoch || e.Sequence >= r.next {
-		broken := r.heard && (e.Epoch != r.epoch || e.Sequence != r.next)
-		for _, f := range r.facts {
-			if broken && f.doubted < 0 {
-				f.doubted = r.now
+	if !r.eventSeen || e.Epoch > r.epoch || e.Sequence >= r.next {
+		broken := r.eventSeen && (e.Epoch != r.epoch || e.Sequence != r.next)
+		for _, f := range r.blocks {
+			if broken && f.doubtedAt < 0 {
+				f.doubtedAt = r.now
 			}
 		}
-		r.heard, r.epoch, r.next = true, e.Epoch, e.Sequence+1
-		r.learn(e.Stored)
+		r.eventSeen, r.epoch, r.next = true, e.Epoch, e.Sequence+1
+		r.record(e.Stored)
 	}
 	for _, block := range e.Removed {
-		delete(r.facts, block)
+		delete(r.blocks, block)
 	}
 }
 
 func (r *reference) remaining(block Block) int {
-	f, known := r.facts[block]
+	f, known := r.blocks[block]
 	if !known {
 		return 0
 	}
-	left := f.learnt + int(small.Lifetime) - r.now
-	if f.doubted >= 0 {
-		left = min(left, f.doubted+int(small.DoubtLifetime)-r.now)
+	left := f.recordedAt + int(small.Lifetime) - r.now
+	if f.doubtedAt >= 0 {
+		left = min(left, f.doubtedAt+int(small.DoubtLifetime)-r.now)
 	}
 	return left
 }
@@ -126,7 +126,7 @@
 		if left <= 0 {
 			break
 		}
-		if r.facts[block].doubted >= 0 {
+		if r.blocks[block].doubtedAt >= 0 {
 			trust = min(trust, float64(left)/float64(small.DoubtLifetime))
 		}
 		total += trust
@@ -147,7 +147,7 @@
 
 func TestIndexMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		index, model := NewIndex(small), &reference{facts: make(map[Block]*fact)}
+		index, model := NewIndex(small), &reference{blocks: make(map[Block]*referenceBlock)}
 		t.Repeat(map[string]func(*rapid.T){
 			"dispatch": func(t *rapid.T) {
 				chain := drawChain(t, "chain")
@@ -178,7 +178,7 @@
 
 // An engine evicts blocks while its events are lost or reordered. Requests
 // would be sent to it for a prefix that it has to compute again. The index may
-// trust such a block for Lifetime dispatches after it was last learnt, and for
+// trust such a block for Lifetime dispatches after it was last recorded, and for
 // DoubtLifetime dispatches after an event that reveals the loss.
 func TestLostEventsExpireAfterBoundedDispatches(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/coord/quota/scenario_test.go
+++ b/coord/quota/scenario_test.go
@@ -123,12 +123,12 @@
 	agreed := testContract("a", 50, 6000, 10)
 	h := NewHolder(DefaultOptions(), "entry", 1)
 	h.Ask(now, Request{ID: 1, Contract: agreed, Tokens: 1})
-	whole := Share{1, 1, 1, 1, 1}
+	full := Share{1, 1, 1, 1, 1}
 	for _, epoch := range []uint64{2, 1} {
 		r := h.Renewal(now, true)
 		grant := Grant{Contract: "a", Share: Share{Slots: 0.1}}
 		if epoch == 1 {
-			grant.Share = whole
+			grant.Share = full
 		}
 		h.Reply(now, Reply{Incarnation: 1, Number: r.Number, Epoch: epoch, Accepted: true, Grants: []Grant{grant}})
 	}
--- a/coord/replog/types.go
+++ b/coord/replog/types.go
@@ -95,8 +95,8 @@
 	Entries []Entry `json:"entries,omitempty"`
 	Commit  uint64  `json:"commit,omitempty"`
 	Reject  bool    `json:"reject,omitempty"`
-	// HintIndex and HintTerm tell the leader of a rejected append where the
-	// member's log may match.
+	// HintIndex and HintTerm indicate to the leader where the member's log may match
+	// after a rejected append.
 	HintIndex uint64    `json:"hintIndex,omitempty"`
 	HintTerm  uint64    `json:"hintTerm,omitempty"`
 	Snapshot  *Snapshot `json:"snapshot,omitempty"`
--- a/coord/residency/residency_test.go
+++ b/coord/residency/residency_test.go
@@ -90,7 +90,7 @@
 
 // A newer version is announced while the adapter is in use. If a replacement
 // were ordered, the engine would wait for the running requests to end and
-// refuse every other order meanwhile, so that all requests that need a load
+// refuse every other order until then, so that all requests that need a load
 // would stall for seconds.
 func TestVersionInUseIsReplacedAfterItsRequestsEnd(t *testing.T) {
 	table := New(options())
--- a/coord/slots/example_test.go
+++ b/coord/slots/example_test.go
@@ -30,8 +30,8 @@
 		}
 		return order
 	}
-	asked := show(table.Request(slots.Claim{Request: 1, Ref: ref, Weight: 1, Patient: true}, now))
-	load := show(table.Granted(asked, now))
+	order := show(table.Request(slots.Claim{Request: 1, Ref: ref, Weight: 1, Patient: true}, now))
+	load := show(table.Granted(order, now))
 	show(table.Loaded(load, now.Add(time.Second)))
 	show(table.Release(1, now.Add(2*time.Second)))
 	// Output:
--- a/coord/slots/slots_test.go
+++ b/coord/slots/slots_test.go
@@ -31,7 +31,7 @@
 	loaded      map[catalogue.Ref]bool
 	running     map[RequestID]catalogue.Ref
 	foreign     map[catalogue.Ref]bool
-	asked       []OrderID
+	requested   []OrderID
 	orders      []engineOrder
 	late        []engineOrder
 	requests    map[RequestID]catalogue.Ref
@@ -55,11 +55,11 @@
 		case Refuse:
 			e.answer(a.Request)
 		case Ask:
-			if !slices.Contains(e.asked, a.Order) {
-				e.asked = append(e.asked, a.Order)
+			if !slices.Contains(e.requested, a.Order) {
+				e.requested = append(e.requested, a.Order)
 			}
 		case Return:
-			e.asked = slices.DeleteFunc(e.asked, func(o OrderID) bool { return o == a.Order })
+			e.requested = slices.DeleteFunc(e.requested, func(o OrderID) bool { return o == a.Order })
 			if slices.ContainsFunc(e.orders, func(o engineOrder) bool { return o.order == a.Order && !o.unload }) {
 				e.t.Fatalf("the permit of a load in progress was given back")
 			}
@@ -193,8 +193,8 @@
 				}
 			},
 			"grant": func(*rapid.T) {
-				if len(e.asked) > 0 {
-					e.perform(e.table.Granted(e.asked[pick(len(e.asked), "grant")], e.now))
+				if len(e.requested) > 0 {
+					e.perform(e.table.Granted(e.requested[pick(len(e.requested), "grant")], e.now))
 				}
 			},
 			"finish": func(*rapid.T) {
@@ -240,7 +240,7 @@
 			delete(e.running, id)
 			e.perform(e.table.Release(id, e.now))
 		}
-		for _, order := range slices.Clone(e.asked) {
+		for _, order := range slices.Clone(e.requested) {
 			e.perform(e.table.Granted(order, e.now))
 		}
 		e.now = e.now.Add(time.Second)
