--- a/coord/broker/broker.go
+++ b/coord/broker/broker.go
@@ -4,7 +4,7 @@
 // proportionally slower beyond it. Broker keeps the number of loads in flight at
 // the knee, which it estimates from measured load times (see Window), and grants
 // permits first to the loads with the highest demand. A permit is a lease, so it
-// expires if its agent dies.
+// expires if its agent crashes.
 //
 // Broker is a pure state machine: it takes events with the current time and
 // returns grants.
--- a/coord/broker/broker_test.go
+++ b/coord/broker/broker_test.go
@@ -50,7 +50,7 @@
 
 func key(agent string, order uint64) Key { return Key{Agent: agent, Incarnation: 1, Order: order} }
 
-// An agent that dies while it has permits must not keep the others from loading.
+// An agent that crashes while it has permits must not keep the others from loading.
 func TestPermitsOfDeadAgentExpire(t *testing.T) {
 	b := New(Options{Window: WindowOptions{Initial: 1, Max: 1}})
 	now := time.Unix(0, 0)
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestSyncKeepsPermitsWithinLimit sends random reports of agents that die, restart
+// TestSyncKeepsPermitsWithinLimit sends random reports of agents that crash, restart
 // and repeat reports. More loads in flight than the limit would slow down every load at
 // the site.
 func TestSyncKeepsPermitsWithinLimit(t *testing.T) {
--- a/coord/contract/contract_test.go
+++ b/coord/contract/contract_test.go
@@ -24,7 +24,7 @@
 
 func TestValidateRejectsValuesOutOfBounds(t *testing.T) {
 	if err := sample().Validate(); err != nil {
-		t.Fatalf("the sample: %v", err)
+		t.Fatalf("the sample contract is invalid: %v", err)
 	}
 	cases := []struct {
 		clause string
--- a/coord/experiment/experiment_test.go
+++ b/coord/experiment/experiment_test.go
@@ -15,8 +15,8 @@
 	for _, s := range Scenarios() {
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
-			first := Run(Deployments()[0], short(s), Shipped(), 7)
-			second := Run(Deployments()[0], short(s), Shipped(), 7)
+			first := Run(Deployments()[0], short(s), Production(), 7)
+			second := Run(Deployments()[0], short(s), Production(), 7)
 			if first != second {
 				t.Errorf("results differ: %+v and %+v", first, second)
 			}
@@ -68,7 +68,7 @@
 }
 
 func comparePrefix(b *testing.B, name string, d Deployment, s Scenario, seed uint64) {
-	for _, p := range []Policy{WithoutPrefix(), Shipped(), WithEvents()} {
+	for _, p := range []Policy{WithoutPrefix(), Production(), WithEvents()} {
 		b.Run(name+"/"+p.Name, func(b *testing.B) {
 			for b.Loop() {
 				r := Run(d, s, p, seed)
@@ -107,7 +107,7 @@
 }
 
 func compare(b *testing.B, name string, d Deployment, s Scenario, seed uint64) {
-	for _, p := range []Policy{Naive(), ResidentFirst(), Shipped()} {
+	for _, p := range []Policy{Naive(), ResidentFirst(), Production()} {
 		b.Run(name+"/"+p.Name, func(b *testing.B) {
 			for b.Loop() {
 				report(b, Run(d, s, p, seed))
@@ -139,7 +139,7 @@
 func TestAdapterHotterThanOneBatchIsCopied(t *testing.T) {
 	d := Deployments()[0]
 	d.Skew = 1.6
-	w := newWorld(d, Scenarios()[0], Shipped(), seed)
+	w := newWorld(d, Scenarios()[0], Production(), seed)
 	w.start()
 	w.run(2 * time.Minute)
 	hottest, copies := fmt.Sprintf("adapter-%d", w.popularity.order[0]), 0
@@ -151,6 +151,6 @@
 		}
 	}
 	if r := w.meter.result(w); copies < 2 || r.StartP99 > 2*storeLoadTime {
-		t.Errorf("%d copies; p99 of the wait to start %s", copies, r.StartP99)
+		t.Errorf("%d copies, p99 of the wait to start %s; too few copies or too long a wait", copies, r.StartP99)
 	}
 }
--- a/coord/experiment/policy.go
+++ b/coord/experiment/policy.go
@@ -74,8 +74,8 @@
 	return p
 }
 
-// Shipped is the production policy.
-func Shipped() Policy {
+// Production returns the policy that the daemons use.
+func Production() Policy {
 	return Policy{
 		Name: "ours",
 		Chooser: func(d Deployment, entry uint64) Chooser {
@@ -85,16 +85,16 @@
 	}
 }
 
-// WithEvents is the production policy with cache events sent to the entries.
+// WithEvents returns the production policy with cache events sent to the entries.
 func WithEvents() Policy {
-	p := Shipped()
+	p := Production()
 	p.Name, p.CacheEvents = "with-events", true
 	return p
 }
 
-// WithoutPrefix is the production policy without regard to prefix caches.
+// WithoutPrefix returns the production policy without regard to prefix caches.
 func WithoutPrefix() Policy {
-	p := Shipped()
+	p := Production()
 	p.Name = "without-prefix"
 	p.Chooser = func(d Deployment, entry uint64) Chooser {
 		filters := []placement.Filter{placement.Serves, placement.NotLeaving, placement.NotExcluded}
--- a/coord/overlay/overlay_test.go
+++ b/coord/overlay/overlay_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// A hub stops answering. Without a replacement its processes would not learn of
-// leaving servers, and would send them work that is aborted.
+// A hub stops answering. Without a replacement, notices of leaving servers would not
+// reach its processes, which would send those servers requests that are aborted.
 func TestLostHubIsReplaced(t *testing.T) {
 	all := nodes(40, 4)
 	self := all[39]
@@ -114,7 +114,7 @@
 			}
 		}
 		if len(seen) != len(alive) {
-			t.Fatalf("updates reach %d of %d processes", len(seen), len(alive))
+			t.Fatalf("updates reach %d of %d processes, want all", len(seen), len(alive))
 		}
 	})
 }
--- a/coord/quota/ledger.go
+++ b/coord/quota/ledger.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// report replaces what is known of a holder by its report. A holder discards
+// report replaces the recorded state of a holder by its report. A holder discards
 // every earlier grant once it has sent a newer renewal, so the report is complete.
 func (l *ledger) report(key holderKey, h Holding) {
 	outstanding := h.Held
--- a/coord/quota/owner.go
+++ b/coord/quota/owner.go
@@ -41,7 +41,7 @@
 	incarnation uint64
 }
 
-// holderRecord is what the owner knows about one incarnation of a holder.
+// holderRecord is the owner's state for one incarnation of a holder.
 type holderRecord struct {
 	// number is that of the last renewal.
 	number  uint64
--- a/coord/quota/property_test.go
+++ b/coord/quota/property_test.go
@@ -79,7 +79,7 @@
 	return w
 }
 
-// addRevision adds a revision that neither the owner nor any holder knows yet.
+// addRevision adds a revision that neither the owner nor any holder has received.
 func (w *world) addRevision() {
 	n := uint64(len(w.revisions) + 1)
 	agreed := contract.Contract{ID: contractID, Revision: n, Limits: limits(w.t), Share: 1}
--- a/coord/quota/quota.go
+++ b/coord/quota/quota.go
@@ -210,8 +210,8 @@
 	// Accepted is false when this instance does not own the quotas or the
 	// renewal is not the holder's newest.
 	Accepted bool `json:"accepted,omitempty"`
-	// Full asks for a full renewal, because the owner does not know what else
-	// the holder has.
+	// Full asks for a full renewal, because the owner has no record of the shares
+	// that the renewal does not list.
 	Full   bool    `json:"full,omitempty"`
 	Grants []Grant `json:"grants,omitempty"`
 }
--- a/coord/roster/roster.go
+++ b/coord/roster/roster.go
@@ -99,7 +99,7 @@
 //
 // A heartbeat that was delayed by a partition may arrive after its sender crashed
 // and another incarnation registered at the address. Its earlier start time
-// identifies it, and it must not list the dead server again.
+// identifies it, and it must not list the crashed server again.
 func (r *Roster) Apply(s Server, now time.Time) (newest, material bool) {
 	known, ok := r.entries[s.ID]
 	if ok && !s.newer(&known.Server) {
--- a/coord/slots/slots.go
+++ b/coord/slots/slots.go
@@ -8,8 +8,8 @@
 // broker.
 //
 // Every load and unload carries a unique order number. A result with an order that
-// the table no longer knows is ignored, so that a delayed result from a dead engine
-// incarnation cannot corrupt the table.
+// the table no longer tracks is ignored, so that a delayed result from an earlier
+// engine incarnation cannot corrupt the table.
 package slots
 
 import (
--- a/coord/slots/slots_test.go
+++ b/coord/slots/slots_test.go
@@ -227,7 +227,7 @@
 	})
 }
 
-// drain lets all orders and requests end successfully and checks that no request is
+// drain ends all orders and requests successfully and checks that no request is
 // left waiting.
 func (e *modelEngine) drain() {
 	clear(e.foreign)
