--- a/coord/placement/selector.go
+++ b/coord/placement/selector.go
@@ -41,8 +41,7 @@
 	tieJitter = 0.002
 )
 
-// Selector chooses servers for one entry. It is not safe for concurrent use:
-// one goroutine owns it, or a lock guards it.
+// Selector chooses servers for one entry. It is not safe for concurrent use.
 type Selector struct {
 	options   SelectorOptions
 	picker    *Picker
@@ -90,7 +89,7 @@
 			s.prefixes.Forget(name)
 		}
 	}
-	s.learn(now)
+	s.updateEstimates(now)
 }
 
 // Dispatched records that a request was sent to a server.
--- a/coord/quota/owner.go
+++ b/coord/quota/owner.go
@@ -23,7 +23,7 @@
 }
 
 // Owner divides contracts among holders during one tenure. It is not safe for
-// concurrent use: a single duty uses it.
+// concurrent use.
 type Owner struct {
 	options   Options
 	tenure    Tenure
@@ -41,7 +41,7 @@
 	incarnation uint64
 }
 
-// holderRecord is what the owner knows about one incarnation of a holder.
+// holderRecord is the owner's state for one incarnation of a holder.
 type holderRecord struct {
 	// number is that of the last renewal.
 	number  uint64
--- a/coord/quota/scenario_test.go
+++ b/coord/quota/scenario_test.go
@@ -123,12 +123,12 @@
 	agreed := testContract("a", 50, 6000, 10)
 	h := NewHolder(DefaultOptions(), "entry", 1)
 	h.Ask(now, Request{ID: 1, Contract: agreed, Tokens: 1})
-	whole := Share{1, 1, 1, 1, 1}
+	full := Share{1, 1, 1, 1, 1}
 	for _, epoch := range []uint64{2, 1} {
 		r := h.Renewal(now, true)
 		grant := Grant{Contract: "a", Share: Share{Slots: 0.1}}
 		if epoch == 1 {
-			grant.Share = whole
+			grant.Share = full
 		}
 		h.Reply(now, Reply{Incarnation: 1, Number: r.Number, Epoch: epoch, Accepted: true, Grants: []Grant{grant}})
 	}
@@ -148,7 +148,7 @@
 		t.Fatal("the renewal was not accepted")
 	}
 	if reserve := owner.Standing("a").Reserve; reserve != (Credit{}) {
-		t.Errorf("the reserve is %v", reserve)
+		t.Errorf("the reserve is %v, want 0", reserve)
 	}
 }
 
@@ -167,21 +167,21 @@
 		},
 	})
 	if sim.messages != messages {
-		t.Errorf("%d messages while nothing was in use", sim.messages-messages)
+		t.Errorf("%d messages while no contract was in use, want 0", sim.messages-messages)
 	}
 	if n := len(sim.owner.ledgers); n != 0 {
-		t.Errorf("the owner keeps %d ledgers", n)
+		t.Errorf("the owner keeps %d ledgers, want 0", n)
 	}
 	for _, h := range sim.holders {
 		if h.InUse() > 0 {
-			t.Errorf("%s keeps %d accounts", h.name, len(h.accounts))
+			t.Errorf("%s keeps %d accounts, want 0", h.name, len(h.accounts))
 		}
 	}
 }
 
 // One caller sends each request after the answer to the previous one, so its rate is
-// what its entry admits. A lease by the measured rate would keep that rate where it
-// is, and the caller would see a delay at every call although the contract is idle.
+// what its entry admits. A lease by the measured rate would never raise that rate,
+// and each of the caller's requests would be delayed although the contract is idle.
 func TestSingleCallerOfIdleContractDoesNotWait(t *testing.T) {
 	for _, agreed := range []contract.Contract{testContract("a", 1_000_000, 1e12, 10_000), testContract("a", 1000, 1e9, 100)} {
 		sim := simulate(scenario{
--- a/coord/slots/slots.go
+++ b/coord/slots/slots.go
@@ -8,8 +8,8 @@
 // broker.
 //
 // Every load and unload carries a unique order number. A result with an order that
-// the table no longer knows is ignored, so that a delayed result from a dead engine
-// incarnation cannot corrupt the table.
+// the table no longer tracks is ignored, so that a delayed result from an earlier
+// engine incarnation cannot corrupt the table.
 package slots
 
 import (
@@ -173,8 +173,7 @@
 	return a
 }
 
-// Table is the slot table of one engine. It is not safe for concurrent use: a single
-// duty uses it.
+// Table is the slot table of one engine. It is not safe for concurrent use.
 type Table struct {
 	options  Options
 	slots    map[catalogue.Ref]*slot
--- a/coord/slots/slots_test.go
+++ b/coord/slots/slots_test.go
@@ -31,7 +31,7 @@
 	loaded      map[catalogue.Ref]bool
 	running     map[RequestID]catalogue.Ref
 	foreign     map[catalogue.Ref]bool
-	asked       []OrderID
+	requested   []OrderID
 	orders      []engineOrder
 	late        []engineOrder
 	requests    map[RequestID]catalogue.Ref
@@ -55,11 +55,11 @@
 		case Refuse:
 			e.answer(a.Request)
 		case Ask:
-			if !slices.Contains(e.asked, a.Order) {
-				e.asked = append(e.asked, a.Order)
+			if !slices.Contains(e.requested, a.Order) {
+				e.requested = append(e.requested, a.Order)
 			}
 		case Return:
-			e.asked = slices.DeleteFunc(e.asked, func(o OrderID) bool { return o == a.Order })
+			e.requested = slices.DeleteFunc(e.requested, func(o OrderID) bool { return o == a.Order })
 			if slices.ContainsFunc(e.orders, func(o engineOrder) bool { return o.order == a.Order && !o.unload }) {
 				e.t.Fatalf("the permit of a load in progress was given back")
 			}
@@ -193,8 +193,8 @@
 				}
 			},
 			"grant": func(*rapid.T) {
-				if len(e.asked) > 0 {
-					e.perform(e.table.Granted(e.asked[pick(len(e.asked), "grant")], e.now))
+				if len(e.requested) > 0 {
+					e.perform(e.table.Granted(e.requested[pick(len(e.requested), "grant")], e.now))
 				}
 			},
 			"finish": func(*rapid.T) {
@@ -227,7 +227,7 @@
 	})
 }
 
-// drain lets all orders and requests end successfully and checks that no request is
+// drain ends all orders and requests successfully and checks that no request is
 // left waiting.
 func (e *modelEngine) drain() {
 	clear(e.foreign)
@@ -240,7 +240,7 @@
 			delete(e.running, id)
 			e.perform(e.table.Release(id, e.now))
 		}
-		for _, order := range slices.Clone(e.asked) {
+		for _, order := range slices.Clone(e.requested) {
 			e.perform(e.table.Granted(order, e.now))
 		}
 		e.now = e.now.Add(time.Second)
@@ -268,7 +268,7 @@
 }
 
 // Popular adapters with requests always running hold every slot. A request for another
-// adapter must not wait until its caller gives up.
+// adapter must start before its caller's timeout.
 func TestPinnedSlotsDoNotStarveWaitingAdapter(t *testing.T) {
 	now := time.Unix(0, 0)
 	table := NewTable(Options{Slots: 1, Queue: 8, StarvationTimeout: time.Second})
@@ -291,20 +291,20 @@
 // Every slot serves requests while another server has a free one. A request that is
 // not patient must be refused, so that it can be sent to the other server instead of
 // waiting for unrelated requests to end.
-func TestOnlyPatientRequestsWaitForASlot(t *testing.T) {
+func TestOnlyPatientRequestsWaitForSlot(t *testing.T) {
 	now := time.Unix(0, 0)
 	table := NewTable(Options{Slots: 1, Queue: 8})
 	load := grantAll(table, table.Request(patientClaim(1, ref(1)), now), now)[0].(Load)
 	table.Loaded(load.Order, now)
 	got := table.Request(Claim{Request: 2, Ref: ref(2), Weight: 1}, now)
 	if len(got) != 1 || got[0] != (Refuse{Request: 2, Reason: ReasonNoSlot}) {
-		t.Errorf("an impatient request got %v", got)
+		t.Errorf("a request that is not patient got %v, want a refusal with ReasonNoSlot", got)
 	}
 	if got := table.Request(Claim{Request: 3, Ref: ref(1), Weight: 1}, now); len(got) != 1 || got[0] != (Start{Request: 3}) {
-		t.Errorf("a request for the loaded adapter got %v", got)
+		t.Errorf("a request for the loaded adapter got %v, want its start", got)
 	}
 	if got := table.Request(patientClaim(4, ref(2)), now); len(got) != 0 || table.Report(now).Waiting != 1 {
-		t.Errorf("a patient request got %v", got)
+		t.Errorf("a patient request got %v, want no action and one waiting request", got)
 	}
 }
 
@@ -318,7 +318,7 @@
 		table.LoadFailed(load.Order, true, now)
 		early := table.Request(patientClaim(2, ref(1)), now.Add(pause-time.Millisecond))
 		if len(early) != 1 || early[0] != (Refuse{Request: 2, Reason: ReasonLoadFailed}) {
-			t.Fatalf("after %d failures: %v", failures+1, early)
+			t.Fatalf("after %d failures: %v, want a refusal with ReasonLoadFailed", failures+1, early)
 		}
 		now = now.Add(pause)
 	}
@@ -343,7 +343,7 @@
 		}
 		next := table.Unloaded(unload.Order, now)[0].(Load)
 		if next.Ref != ref(1) {
-			t.Fatalf("loads %v", next.Ref)
+			t.Fatalf("loads %v, want the adapter that callers wait for", next.Ref)
 		}
 		var got []Action
 		if again {
@@ -352,7 +352,7 @@
 			got = table.Loaded(next.Order, now)
 		}
 		if slices.ContainsFunc(got, isRefusal) != again {
-			t.Errorf("refused again %v: %v", again, got)
+			t.Errorf("load refused again = %v: got %v, want callers refused = the same", again, got)
 		}
 	}
 }
