--- a/coord/experiment/policy.go
+++ b/coord/experiment/policy.go
@@ -37,9 +37,9 @@
 	// site.
 	Chooser func(d Deployment, entry uint64) Chooser
 	Slots   slots.Options
-	// Patient makes requests wait for a slot instead of trying another server.
-	Patient bool
-	Permits func() Permits
+	// WaitForSlot makes requests wait for a slot instead of trying another server.
+	WaitForSlot bool
+	Permits     func() Permits
 	// CacheEvents sends cache events to the entries with the load reports; a tenth
 	// of them are lost.
 	CacheEvents bool
@@ -55,9 +55,9 @@
 			picker := placement.NewCustomPicker(filters, []placement.Scorer{leastLoaded})
 			return placement.NewSelector(picker, placement.SelectorOptions{Salt: entry})
 		},
-		Slots:   slots.Options{Eviction: slots.EvictLeastRecent, StarvationTimeout: time.Hour},
-		Patient: true,
-		Permits: func() Permits { return unlimited{} },
+		Slots:       slots.Options{Eviction: slots.EvictLeastRecent, StarvationTimeout: time.Hour},
+		WaitForSlot: true,
+		Permits:     func() Permits { return unlimited{} },
 	}
 }
 
--- a/coord/experiment/world.go
+++ b/coord/experiment/world.go
@@ -258,7 +258,7 @@
 	loadTime       time.Duration
 	requestedAt    map[slots.OrderID]time.Duration
 	// pendingAsks are the loads that wait for a permit.
-	pendingAsks []slots.Ask
+	pendingAsks []slots.PermitRequest
 }
 
 type waiter struct {
@@ -306,7 +306,7 @@
 	}
 	w.lastID++
 	s.waiting[w.lastID] = &waiter{request: r, since: w.at}
-	s.perform(s.table.Request(slots.Claim{Request: w.lastID, Ref: r.ref, Weight: 1, Patient: w.policy.Patient || len(r.declined) == maxDeclines}, w.now()))
+	s.perform(s.table.Request(slots.Claim{Request: w.lastID, Ref: r.ref, Weight: 1, WaitForSlot: w.policy.WaitForSlot || len(r.declined) == maxDeclines}, w.now()))
 }
 
 func (s *server) perform(actions []slots.Action) {
@@ -318,7 +318,7 @@
 		case slots.Refuse:
 			r := s.dequeue(a.Request)
 			w.refused(r, s, a.Reason)
-		case slots.Ask:
+		case slots.PermitRequest:
 			if _, again := s.requestedAt[a.Order]; !again {
 				s.requestedAt[a.Order] = w.at
 			}
@@ -335,7 +335,7 @@
 	}
 }
 
-func (s *server) ask(a slots.Ask) {
+func (s *server) ask(a slots.PermitRequest) {
 	w := s.world
 	ask := broker.Ask{Key: s.key(a.Order), Demand: a.Demand, Waited: w.now().Sub(a.Since)}
 	w.after(hop, func() { w.deliver(w.permits.Ask(ask, w.now())) })
@@ -350,7 +350,7 @@
 }
 
 func (s *server) dropAsk(order slots.OrderID) {
-	s.pendingAsks = slices.DeleteFunc(s.pendingAsks, func(a slots.Ask) bool { return a.Order == order })
+	s.pendingAsks = slices.DeleteFunc(s.pendingAsks, func(a slots.PermitRequest) bool { return a.Order == order })
 }
 
 func (s *server) key(order slots.OrderID) broker.Key {
--- a/coord/founding/founding.go
+++ b/coord/founding/founding.go
@@ -19,11 +19,11 @@
 // size reserves for control; 9 voters tolerate the loss of 4.
 const MaxMembers = 9
 
-// Settle is how long a process waits after it has opened its disk, so that all
-// processes have heard of each other: they start within a few hundred
+// SettleTime is how long a process waits after it has opened its disk, so that
+// all processes have heard of each other: they start within a few hundred
 // milliseconds, and a greeting takes one round trip. Opening the disk may take
 // longer; until then the others see a process without a disk.
-const Settle = 1500 * time.Millisecond
+const SettleTime = 1500 * time.Millisecond
 
 // Process describes a process, as given in its greeting.
 type Process struct {
@@ -54,7 +54,7 @@
 // Decide reports whether the process founds the log, and returns the founders:
 // the process itself and others with a disk, spread evenly over all data centres.
 func Decide(v View) (founders []Process, founds bool) {
-	if !v.Bootstrap || !v.Self.Disk || v.Self.Cluster != "" || v.Up < Settle || v.UnansweredSeeds > 0 {
+	if !v.Bootstrap || !v.Self.Disk || v.Self.Cluster != "" || v.Up < SettleTime || v.UnansweredSeeds > 0 {
 		return nil, false
 	}
 	var others []Process
--- a/coord/founding/members.go
+++ b/coord/founding/members.go
@@ -10,8 +10,8 @@
 	CaughtUp bool
 }
 
-// Seen is a process with the time since it was last heard from.
-type Seen struct {
+// KnownProcess is a process with the time since it was last heard from.
+type KnownProcess struct {
 	Process
 	Silent time.Duration
 }
@@ -25,7 +25,7 @@
 	// same time.
 	ToleratedLosses int
 	Members         []Member
-	Known           []Seen
+	Known           []KnownProcess
 }
 
 // ChangeKind is the kind of a membership change.
--- a/coord/quota/bench_test.go
+++ b/coord/quota/bench_test.go
@@ -113,7 +113,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				id++
-				if actions := h.Ask(now, Request{ID: id, Contract: agreed[int(id)%contracts], Tokens: 1}); len(actions) == 0 {
+				if actions := h.Request(now, Request{ID: id, Contract: agreed[int(id)%contracts], Tokens: 1}); len(actions) == 0 {
 					b.Fatal("the request waits")
 				}
 				h.Settle(now, id, Use{NotRun: true})
@@ -171,7 +171,7 @@
 	grants := make([]Grant, contracts)
 	for i := range agreed {
 		agreed[i] = testContract(fmt.Sprintf("customer-%05d", i), 1000, 1<<40, 1000)
-		h.Ask(now, Request{ID: RequestID(i), Contract: agreed[i], Tokens: 500})
+		h.Request(now, Request{ID: RequestID(i), Contract: agreed[i], Tokens: 500})
 		grants[i] = Grant{Contract: agreed[i].ID, Share: Share{0.1, 0.1, 0.1, 0.1, 0.1}, Credit: Credit{0.1, 0.1}}
 	}
 	r := h.Renewal(now, true)
--- a/coord/quota/example_test.go
+++ b/coord/quota/example_test.go
@@ -29,8 +29,8 @@
 			}
 		}
 	}
-	perform(holder.Ask(now, quota.Request{ID: 1, Contract: agreed, Tokens: 300}))
-	perform(holder.Ask(now, quota.Request{ID: 2, Contract: agreed, Tokens: 300}))
+	perform(holder.Request(now, quota.Request{ID: 1, Contract: agreed, Tokens: 300}))
+	perform(holder.Request(now, quota.Request{ID: 2, Contract: agreed, Tokens: 300}))
 	if holder.Urgent(now) {
 		renewal := holder.Renewal(now, false)
 		now = now.Add(2 * time.Millisecond)
--- a/coord/quota/holder.go
+++ b/coord/quota/holder.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// Ask admits, queues or refuses a request.
-func (h *Holder) Ask(now time.Time, r Request) []Action {
+// Request admits, queues or refuses a request.
+func (h *Holder) Request(now time.Time, r Request) []Action {
 	h.expire(now)
 	a := h.account(now, r.Contract)
 	a.accrue(now)
--- a/coord/quota/property_test.go
+++ b/coord/quota/property_test.go
@@ -120,7 +120,7 @@
 		for range rapid.IntRange(1, 8).Draw(w.t, "count") {
 			w.nextID++
 			tokens := rapid.Int64Range(0, 400).Draw(w.t, "cost")
-			w.act(i, h.Ask(w.now, Request{ID: w.nextID, Contract: w.revisions[w.holderRevisions[i]].agreed, Tokens: tokens}))
+			w.act(i, h.Request(w.now, Request{ID: w.nextID, Contract: w.revisions[w.holderRevisions[i]].agreed, Tokens: tokens}))
 		}
 	case "settle":
 		w.settle(i)
--- a/coord/quota/recovery_test.go
+++ b/coord/quota/recovery_test.go
@@ -61,7 +61,7 @@
 func TestHolderIgnoresRepliesToPreviousIncarnation(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	h := NewHolder(DefaultOptions(), "entry", 2)
-	h.Ask(now, Request{ID: 1, Contract: testContract("a", 50, 6000, 10), Tokens: 1})
+	h.Request(now, Request{ID: 1, Contract: testContract("a", 50, 6000, 10), Tokens: 1})
 	r := h.Renewal(now, true)
 	h.Reply(now, Reply{Incarnation: 1, Number: r.Number, Epoch: 1, Accepted: true, Grants: []Grant{{Contract: "a", Share: Share{1, 1, 1, 1, 1}}}})
 	if h.Leased(now) {
@@ -77,7 +77,7 @@
 	owner := NewOwner(DefaultOptions(), Tenure{Epoch: 2, Began: now.Add(-time.Hour)}, func(string) (contract.Contract, bool) { return agreed, true })
 	h := NewHolder(DefaultOptions(), "entry", 1)
 	h.full = false
-	h.Ask(now, Request{ID: 1, Contract: agreed, Tokens: 1})
+	h.Request(now, Request{ID: 1, Contract: agreed, Tokens: 1})
 	reply := owner.Renew(now, h.Renewal(now, false))
 	if reply.Accepted || !reply.Full {
 		t.Fatalf("got %+v, want a refusal that asks for a full renewal", reply)
@@ -96,7 +96,7 @@
 func TestReducedShareReducesLevel(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	h := NewHolder(DefaultOptions(), "entry", 1)
-	h.Ask(now, Request{ID: 1, Contract: testContract("a", 9, 6000, 10), Tokens: 1})
+	h.Request(now, Request{ID: 1, Contract: testContract("a", 9, 6000, 10), Tokens: 1})
 	grant := func(share Share, credit Credit) {
 		r := h.Renewal(now, true)
 		h.Reply(now, Reply{Incarnation: 1, Number: r.Number, Epoch: 1, Accepted: true, Grants: []Grant{{Contract: "a", Share: share, Credit: credit}}})
@@ -142,7 +142,7 @@
 			40: func(s *simulation) {
 				s.nextID++
 				large = s.nextID
-				s.act(0, s.holders[0].Ask(s.now, Request{ID: large, Contract: agreed, Tokens: 30_000}))
+				s.act(0, s.holders[0].Request(s.now, Request{ID: large, Contract: agreed, Tokens: 30_000}))
 			},
 		},
 	})
@@ -188,7 +188,7 @@
 	if h.Leased(now) {
 		t.Error("a holder without a lease got one")
 	}
-	h.Ask(now, Request{ID: 1, Contract: testContract("a", 9, 6000, 10), Tokens: 1})
+	h.Request(now, Request{ID: 1, Contract: testContract("a", 9, 6000, 10), Tokens: 1})
 	r := h.Renewal(now, true)
 	h.Reply(now, Reply{Incarnation: 1, Number: r.Number, Epoch: 1, Accepted: true, Grants: []Grant{{Contract: "a", Share: Share{0, 0, 1, 1, 1}}}})
 	now = now.Add(h.options.Lease)
@@ -206,14 +206,14 @@
 	now := time.Unix(1_000_000, 0)
 	h := NewHolder(DefaultOptions(), "entry", 1)
 	agreed := testContract("a", 9, 6000, 10)
-	h.Ask(now, Request{ID: 1, Contract: agreed, Tokens: 1})
+	h.Request(now, Request{ID: 1, Contract: agreed, Tokens: 1})
 	r := h.Renewal(now, true)
 	h.Reply(now, Reply{Incarnation: 1, Number: r.Number, Epoch: 1, Accepted: true, Grants: []Grant{
 		{Contract: "a", Share: Share{0, 0, 0.1, 0.1, 0.2}, Credit: Credit{0.1, 0.1}},
 	}})
 	h.Extend(now, now.Add(time.Hour))
 	now = now.Add(3 * time.Second)
-	if actions := h.Ask(now, Request{ID: 2, Contract: agreed, Tokens: 1}); len(actions) != 0 {
+	if actions := h.Request(now, Request{ID: 2, Contract: agreed, Tokens: 1}); len(actions) != 0 {
 		t.Fatalf("got %v", actions)
 	}
 	now = now.Add(agreed.Limits.MaxWait)
--- a/coord/quota/scenario_test.go
+++ b/coord/quota/scenario_test.go
@@ -122,7 +122,7 @@
 	now := time.Unix(1_000_000, 0)
 	agreed := testContract("a", 50, 6000, 10)
 	h := NewHolder(DefaultOptions(), "entry", 1)
-	h.Ask(now, Request{ID: 1, Contract: agreed, Tokens: 1})
+	h.Request(now, Request{ID: 1, Contract: agreed, Tokens: 1})
 	full := Share{1, 1, 1, 1, 1}
 	for _, epoch := range []uint64{2, 1} {
 		r := h.Renewal(now, true)
--- a/coord/quota/sim_test.go
+++ b/coord/quota/sim_test.go
@@ -172,7 +172,7 @@
 	i := s.pickEntry()
 	s.offeredTo[i]++
 	agreed := s.followed[s.agreed[s.rng.IntN(len(s.agreed))].ID]
-	s.act(i, s.holders[i].Ask(s.now, Request{ID: s.nextID, Contract: agreed, Tokens: s.tokens}))
+	s.act(i, s.holders[i].Request(s.now, Request{ID: s.nextID, Contract: agreed, Tokens: s.tokens}))
 }
 
 func (s *simulation) pickEntry() int {
--- a/coord/retry/retry.go
+++ b/coord/retry/retry.go
@@ -33,8 +33,8 @@
 // DefaultLimits are suitable for servers that answer within one or two seconds.
 var DefaultLimits = Limits{Attempts: 3, Ratio: 0.2, PerContract: 10, Total: 100, Base: 20 * time.Millisecond, Max: 500 * time.Millisecond}
 
-// Ended describes an attempt that has ended.
-type Ended struct {
+// EndedAttempt describes an attempt that has ended.
+type EndedAttempt struct {
 	Contract string
 	// Attempt counts from 1.
 	Attempt    int
@@ -68,7 +68,7 @@
 
 // Decision is the result of Next.
 type Decision struct {
-	Again bool
+	Retry bool
 	// After is the pause before the next attempt.
 	After  time.Duration
 	Reason Reason
@@ -89,8 +89,8 @@
 	return &Budget{limits: limits, spent: make(map[string]float64)}
 }
 
-// Began replenishes the budgets for a first attempt.
-func (b *Budget) Began(contract string) {
+// RecordRequest replenishes the budgets for a first attempt.
+func (b *Budget) RecordRequest(contract string) {
 	b.total = math.Max(0, b.total-b.limits.Ratio)
 	used, known := b.spent[contract]
 	if !known {
@@ -105,7 +105,7 @@
 
 // Next decides whether the request is retried and, if so, takes the retry from the
 // budgets.
-func (b *Budget) Next(e Ended) Decision {
+func (b *Budget) Next(e EndedAttempt) Decision {
 	if reason := b.refusal(e); reason != ReasonNone {
 		return Decision{Reason: reason}
 	}
@@ -115,10 +115,10 @@
 	}
 	b.total++
 	b.spent[e.Contract]++
-	return Decision{Again: true, After: after}
+	return Decision{Retry: true, After: after}
 }
 
-func (b *Budget) refusal(e Ended) Reason {
+func (b *Budget) refusal(e EndedAttempt) Reason {
 	failure := Failure{Outcome: e.Outcome, Idempotent: e.Idempotent, Attempts: e.Attempt, MaxAttempts: b.limits.Attempts}
 	if reason := failure.Refusal(); reason != ReasonNone {
 		return reason
@@ -135,7 +135,7 @@
 
 // pause returns a random part of a window that doubles with each attempt. Without
 // jitter the requests of a failed server would reach the next one simultaneously.
-func (b *Budget) pause(e Ended) time.Duration {
+func (b *Budget) pause(e EndedAttempt) time.Duration {
 	window := b.limits.Base << min(e.Attempt-1, 30)
 	if window > b.limits.Max || window <= 0 {
 		window = b.limits.Max
--- a/coord/retry/retry_test.go
+++ b/coord/retry/retry_test.go
@@ -15,15 +15,15 @@
 	limits := retry.Limits{Attempts: 3, Ratio: 0.5, PerContract: 2, Total: 3, Base: 10 * time.Millisecond, Max: 15 * time.Millisecond}
 	cases := []struct {
 		name  string
-		ended retry.Ended
+		ended retry.EndedAttempt
 		want  retry.Decision
 	}{
-		{"may have run", retry.Ended{Attempt: 1, Outcome: outcome.Unknown}, retry.Decision{Reason: retry.ReasonMayHaveRun}},
-		{"not run", retry.Ended{Attempt: 1, Outcome: outcome.NotRun}, retry.Decision{Again: true}},
-		{"idempotent", retry.Ended{Attempt: 1, Idempotent: true, Jitter: 0.5}, retry.Decision{Again: true, After: 5 * time.Millisecond}},
-		{"longer pause, bounded", retry.Ended{Attempt: 2, Idempotent: true, Jitter: 0.5}, retry.Decision{Again: true, After: 7500 * time.Microsecond}},
-		{"last attempt", retry.Ended{Attempt: 3, Idempotent: true}, retry.Decision{Reason: retry.ReasonAttempts}},
-		{"past the deadline", retry.Ended{Attempt: 1, Idempotent: true, Jitter: 0.5, Deadline: now.Add(5 * time.Millisecond)}, retry.Decision{Reason: retry.ReasonDeadline}},
+		{"may have run", retry.EndedAttempt{Attempt: 1, Outcome: outcome.Unknown}, retry.Decision{Reason: retry.ReasonMayHaveRun}},
+		{"not run", retry.EndedAttempt{Attempt: 1, Outcome: outcome.NotRun}, retry.Decision{Retry: true}},
+		{"idempotent", retry.EndedAttempt{Attempt: 1, Idempotent: true, Jitter: 0.5}, retry.Decision{Retry: true, After: 5 * time.Millisecond}},
+		{"longer pause, bounded", retry.EndedAttempt{Attempt: 2, Idempotent: true, Jitter: 0.5}, retry.Decision{Retry: true, After: 7500 * time.Microsecond}},
+		{"last attempt", retry.EndedAttempt{Attempt: 3, Idempotent: true}, retry.Decision{Reason: retry.ReasonAttempts}},
+		{"past the deadline", retry.EndedAttempt{Attempt: 1, Idempotent: true, Jitter: 0.5, Deadline: now.Add(5 * time.Millisecond)}, retry.Decision{Reason: retry.ReasonDeadline}},
 	}
 	for _, c := range cases {
 		c.ended.Now = now
@@ -36,7 +36,7 @@
 func TestBudgetsAreSeparateAndReplenished(t *testing.T) {
 	budget := retry.NewBudget(retry.Limits{Attempts: 3, Ratio: 0.5, PerContract: 2, Total: 3})
 	next := func(contract string) retry.Reason {
-		return budget.Next(retry.Ended{Contract: contract, Attempt: 1, Idempotent: true, Now: now}).Reason
+		return budget.Next(retry.EndedAttempt{Contract: contract, Attempt: 1, Idempotent: true, Now: now}).Reason
 	}
 	steps := []struct {
 		contract string
@@ -50,8 +50,8 @@
 			t.Errorf("step %d: %q, want %q", i, got, step.want)
 		}
 	}
-	budget.Began("a")
-	budget.Began("a")
+	budget.RecordRequest("a")
+	budget.RecordRequest("a")
 	if got := next("a"); got != retry.ReasonNone {
 		t.Errorf("after two first attempts: %q, want a retry", got)
 	}
@@ -65,10 +65,10 @@
 	budget := retry.NewBudget(retry.DefaultLimits)
 	budgeted := storm(func(_ int, attempt int, random *rand.Rand) bool {
 		if attempt == 0 {
-			budget.Began("c")
+			budget.RecordRequest("c")
 			return true
 		}
-		return budget.Next(retry.Ended{Contract: "c", Attempt: attempt, Idempotent: true, Now: now, Jitter: random.Float64()}).Again
+		return budget.Next(retry.EndedAttempt{Contract: "c", Attempt: attempt, Idempotent: true, Now: now, Jitter: random.Float64()}).Retry
 	})
 	t.Logf("attempts per request: with budget %.2f, naive %.2f", budgeted, naive)
 	if limit := 1 + retry.DefaultLimits.Ratio + retry.DefaultLimits.PerContract/stormRequests; budgeted > limit {
--- a/coord/slots/example_test.go
+++ b/coord/slots/example_test.go
@@ -18,7 +18,7 @@
 	show := func(actions []slots.Action) (order slots.OrderID) {
 		for _, action := range actions {
 			switch a := action.(type) {
-			case slots.Ask:
+			case slots.PermitRequest:
 				fmt.Println("ask for a permit to load", a.Ref)
 				order = a.Order
 			case slots.Load:
@@ -30,7 +30,7 @@
 		}
 		return order
 	}
-	order := show(table.Request(slots.Claim{Request: 1, Ref: ref, Weight: 1, Patient: true}, now))
+	order := show(table.Request(slots.Claim{Request: 1, Ref: ref, Weight: 1, WaitForSlot: true}, now))
 	load := show(table.Granted(order, now))
 	show(table.Loaded(load, now.Add(time.Second)))
 	show(table.Release(1, now.Add(2*time.Second)))
--- a/coord/slots/plan.go
+++ b/coord/slots/plan.go
@@ -24,7 +24,7 @@
 		}
 		room--
 		w.order = t.newOrder()
-		actions = append(actions, w.ask())
+		actions = append(actions, w.permitRequest())
 	}
 	return append(actions, t.preventStarvation(now)...)
 }
--- a/coord/slots/slots.go
+++ b/coord/slots/slots.go
@@ -38,9 +38,9 @@
 	Reason  Reason
 }
 
-// Ask requests a permit to load, which the owner reports with Granted. An Ask with
-// the order of an earlier one updates it.
-type Ask struct {
+// PermitRequest requests a permit to load, which the owner reports with Granted. A
+// PermitRequest with the order of an earlier one updates it.
+type PermitRequest struct {
 	Order OrderID
 	Ref   catalogue.Ref
 	// Demand is the sum of the weights of the requests waiting for the adapter.
@@ -64,12 +64,12 @@
 	Ref   catalogue.Ref
 }
 
-func (Start) action()  {}
-func (Refuse) action() {}
-func (Ask) action()    {}
-func (Return) action() {}
-func (Load) action()   {}
-func (Unload) action() {}
+func (Start) action()         {}
+func (Refuse) action()        {}
+func (PermitRequest) action() {}
+func (Return) action()        {}
+func (Load) action()          {}
+func (Unload) action()        {}
 
 // Reason is the reason for a refusal.
 type Reason string
@@ -165,8 +165,8 @@
 	engineFull bool
 }
 
-func (w *pendingLoad) ask() Ask {
-	a := Ask{Order: w.order, Ref: w.ref, Since: w.since}
+func (w *pendingLoad) permitRequest() PermitRequest {
+	a := PermitRequest{Order: w.order, Ref: w.ref, Since: w.since}
 	for _, waiting := range w.waiters {
 		a.Demand += waiting.weight
 	}
@@ -209,9 +209,9 @@
 	// Weight, such as that of the request's contract, sets the priority of the
 	// load when permits are scarce.
 	Weight float64
-	// Patient requests wait for a slot without a time limit. Others are refused
-	// if none is obtainable now, so that they can be sent elsewhere.
-	Patient bool
+	// WaitForSlot makes the request wait for a slot without a time limit. Without it
+	// the request is refused if none is obtainable now, so that it can be sent elsewhere.
+	WaitForSlot bool
 }
 
 // Request starts, queues or refuses a request.
@@ -229,7 +229,7 @@
 	}
 	w := t.pendingFor(ref)
 	_, present := t.slots[ref]
-	if w == nil && !present && !claim.Patient && t.obtainable() <= 0 {
+	if w == nil && !present && !claim.WaitForSlot && t.obtainable() <= 0 {
 		return []Action{Refuse{Request: id, Reason: ReasonNoSlot}}
 	}
 	t.waiting++
@@ -239,7 +239,7 @@
 	}
 	w.waiters = append(w.waiters, waiter{request: id, weight: weight})
 	if w.order != 0 && !w.granted {
-		return append(t.plan(now), w.ask())
+		return append(t.plan(now), w.permitRequest())
 	}
 	return t.plan(now)
 }
--- a/coord/slots/slots_test.go
+++ b/coord/slots/slots_test.go
@@ -54,7 +54,7 @@
 			e.start(a.Request)
 		case Refuse:
 			e.answer(a.Request)
-		case Ask:
+		case PermitRequest:
 			if !slices.Contains(e.requested, a.Order) {
 				e.requested = append(e.requested, a.Order)
 			}
@@ -175,7 +175,7 @@
 			"request": func(*rapid.T) {
 				e.lastID++
 				e.requests[e.lastID] = ref(pick(6, "adapter"))
-				e.perform(e.table.Request(Claim{Request: e.lastID, Ref: e.requests[e.lastID], Weight: 1, Patient: rapid.Bool().Draw(t, "patient")}, e.now))
+				e.perform(e.table.Request(Claim{Request: e.lastID, Ref: e.requests[e.lastID], Weight: 1, WaitForSlot: rapid.Bool().Draw(t, "patient")}, e.now))
 			},
 			"cancel": func(*rapid.T) {
 				id := RequestID(pick(int(e.lastID)+1, "cancelled"))
@@ -253,15 +253,15 @@
 	}
 }
 
-func patientClaim(id RequestID, r catalogue.Ref) Claim {
-	return Claim{Request: id, Ref: r, Weight: 1, Patient: true}
+func waitingClaim(id RequestID, r catalogue.Ref) Claim {
+	return Claim{Request: id, Ref: r, Weight: 1, WaitForSlot: true}
 }
 
 func grantAll(table *Table, actions []Action, now time.Time) []Action {
 	var after []Action
 	for _, a := range actions {
-		if ask, ok := a.(Ask); ok {
-			after = append(after, table.Granted(ask.Order, now)...)
+		if request, ok := a.(PermitRequest); ok {
+			after = append(after, table.Granted(request.Order, now)...)
 		}
 	}
 	return after
@@ -272,12 +272,12 @@
 func TestPinnedSlotsDoNotStarveWaitingAdapter(t *testing.T) {
 	now := time.Unix(0, 0)
 	table := NewTable(Options{Slots: 1, Queue: 8, StarvationTimeout: time.Second})
-	load := grantAll(table, table.Request(patientClaim(1, ref(1)), now), now)[0].(Load)
+	load := grantAll(table, table.Request(waitingClaim(1, ref(1)), now), now)[0].(Load)
 	table.Loaded(load.Order, now)
-	table.Request(patientClaim(2, ref(2)), now)
+	table.Request(waitingClaim(2, ref(2)), now)
 	now = now.Add(2 * time.Second)
 	table.Tick(now)
-	for _, a := range table.Request(patientClaim(3, ref(1)), now) {
+	for _, a := range table.Request(waitingClaim(3, ref(1)), now) {
 		if _, started := a.(Start); started {
 			t.Fatal("a new request for the popular adapter overtook the starving one")
 		}
@@ -288,23 +288,23 @@
 	}
 }
 
-// Every slot serves requests while another server has a free one. A request that is
-// not patient must be refused, so that it can be sent to the other server instead of
-// waiting for unrelated requests to end.
-func TestOnlyPatientRequestsWaitForSlot(t *testing.T) {
+// Every slot serves requests while another server has a free one. A request
+// without WaitForSlot must be refused, so that it can be sent to the other server
+// instead of waiting for unrelated requests to end.
+func TestOnlyClaimsWithWaitForSlotWait(t *testing.T) {
 	now := time.Unix(0, 0)
 	table := NewTable(Options{Slots: 1, Queue: 8})
-	load := grantAll(table, table.Request(patientClaim(1, ref(1)), now), now)[0].(Load)
+	load := grantAll(table, table.Request(waitingClaim(1, ref(1)), now), now)[0].(Load)
 	table.Loaded(load.Order, now)
 	got := table.Request(Claim{Request: 2, Ref: ref(2), Weight: 1}, now)
 	if len(got) != 1 || got[0] != (Refuse{Request: 2, Reason: ReasonNoSlot}) {
-		t.Errorf("a request that is not patient got %v, want a refusal with ReasonNoSlot", got)
+		t.Errorf("a request without WaitForSlot got %v, want a refusal with ReasonNoSlot", got)
 	}
 	if got := table.Request(Claim{Request: 3, Ref: ref(1), Weight: 1}, now); len(got) != 1 || got[0] != (Start{Request: 3}) {
 		t.Errorf("a request for the loaded adapter got %v, want its start", got)
 	}
-	if got := table.Request(patientClaim(4, ref(2)), now); len(got) != 0 || table.Report(now).Waiting != 1 {
-		t.Errorf("a patient request got %v, want no action and one waiting request", got)
+	if got := table.Request(waitingClaim(4, ref(2)), now); len(got) != 0 || table.Report(now).Waiting != 1 {
+		t.Errorf("a request with WaitForSlot got %v, want no action and one waiting request", got)
 	}
 }
 
@@ -314,9 +314,9 @@
 	now := time.Unix(0, 0)
 	table := NewTable(Options{Slots: 1, Queue: 8})
 	for failures, pause := 0, time.Second; failures < 3; failures, pause = failures+1, 2*pause {
-		load := grantAll(table, table.Request(patientClaim(1, ref(1)), now), now)[0].(Load)
+		load := grantAll(table, table.Request(waitingClaim(1, ref(1)), now), now)[0].(Load)
 		table.LoadFailed(load.Order, true, now)
-		early := table.Request(patientClaim(2, ref(1)), now.Add(pause-time.Millisecond))
+		early := table.Request(waitingClaim(2, ref(1)), now.Add(pause-time.Millisecond))
 		if len(early) != 1 || early[0] != (Refuse{Request: 2, Reason: ReasonLoadFailed}) {
 			t.Fatalf("after %d failures: %v, want a refusal with ReasonLoadFailed", failures+1, early)
 		}
@@ -332,7 +332,7 @@
 	now := time.Unix(0, 0)
 	for _, again := range []bool{false, true} {
 		table := NewTable(Options{Slots: 1, Queue: 8})
-		load := grantAll(table, table.Request(patientClaim(1, ref(1)), now), now)[0].(Load)
+		load := grantAll(table, table.Request(waitingClaim(1, ref(1)), now), now)[0].(Load)
 		table.Adopt(ref(2), true)
 		if got := table.LoadFull(load.Order, now); slices.ContainsFunc(got, isRefusal) {
 			t.Fatalf("callers were refused after the first refusal: %v", got)
@@ -384,7 +384,7 @@
 		for adapter, uses := range c.uses {
 			for range uses {
 				id++
-				actions := grantAll(table, table.Request(patientClaim(id, ref(adapter)), now), now)
+				actions := grantAll(table, table.Request(waitingClaim(id, ref(adapter)), now), now)
 				if len(actions) > 0 {
 					now = now.Add(c.loads[adapter])
 					table.Loaded(actions[0].(Load).Order, now)
@@ -392,7 +392,7 @@
 				table.Release(id, now)
 			}
 		}
-		actions := grantAll(table, table.Request(patientClaim(id+1, ref(9)), now), now)
+		actions := grantAll(table, table.Request(waitingClaim(id+1, ref(9)), now), now)
 		if got := actions[0].(Unload).Ref; got != ref(c.victim) {
 			t.Errorf("%s: evicted %s, want %s", c.name, got, ref(c.victim))
 		}
@@ -409,7 +409,7 @@
 			id := RequestID(0)
 			for i := range adapters {
 				id++
-				for _, a := range grantAll(table, table.Request(patientClaim(id, ref(i)), now), now) {
+				for _, a := range grantAll(table, table.Request(waitingClaim(id, ref(i)), now), now) {
 					finishAll(table, a, now)
 				}
 				table.Release(id, now)
@@ -419,7 +419,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				id++
-				table.Request(patientClaim(id, last), now)
+				table.Request(waitingClaim(id, last), now)
 				table.Release(id, now)
 			}
 		})
--- a/internal/agent/permits.go
+++ b/internal/agent/permits.go
@@ -51,7 +51,7 @@
 	changed     chan struct{}
 
 	mu       sync.Mutex
-	wanted   []slots.Ask
+	wanted   []slots.PermitRequest
 	held     map[slots.OrderID]time.Time
 	finished []broker.Finished
 	sequence uint64
@@ -91,9 +91,9 @@
 }
 
 // request requests a permit, or updates an earlier request for the same order.
-func (p *permitClient) request(a slots.Ask) {
+func (p *permitClient) request(a slots.PermitRequest) {
 	p.update(func() {
-		i := slices.IndexFunc(p.wanted, func(other slots.Ask) bool { return other.Order == a.Order })
+		i := slices.IndexFunc(p.wanted, func(other slots.PermitRequest) bool { return other.Order == a.Order })
 		if i >= 0 {
 			p.wanted[i] = a
 			return
@@ -130,7 +130,7 @@
 }
 
 func (p *permitClient) removeWanted(order slots.OrderID) {
-	p.wanted = slices.DeleteFunc(p.wanted, func(a slots.Ask) bool { return a.Order == order })
+	p.wanted = slices.DeleteFunc(p.wanted, func(a slots.PermitRequest) bool { return a.Order == order })
 }
 
 // report returns the next message to the broker and whether it has any content.
@@ -249,7 +249,7 @@
 // grant passes a permit to the slot loop. It ignores duplicate grants.
 func (p *permitClient) grant(order slots.OrderID, send func(event)) {
 	p.mu.Lock()
-	wanted := slices.ContainsFunc(p.wanted, func(a slots.Ask) bool { return a.Order == order })
+	wanted := slices.ContainsFunc(p.wanted, func(a slots.PermitRequest) bool { return a.Order == order })
 	p.removeWanted(order)
 	if wanted {
 		p.held[order] = time.Now()
--- a/internal/agent/slotloop.go
+++ b/internal/agent/slotloop.go
@@ -183,7 +183,7 @@
 			l.answer(action.Request, verdict{start: true}, now)
 		case slots.Refuse:
 			l.answer(action.Request, verdict{reason: action.Reason}, now)
-		case slots.Ask:
+		case slots.PermitRequest:
 			if _, known := l.requestedAt[action.Order]; !known {
 				l.requestedAt[action.Order] = now
 			}
@@ -261,7 +261,7 @@
 	l.replies[e.id] = pendingReply{reply: e.reply, ref: e.ref, since: now}
 	l.sources[e.ref] = e.source
 	l.pruneSources()
-	return l.table.Request(slots.Claim{Request: e.id, Ref: e.ref, Weight: e.weight, Patient: e.waitForSlot}, now)
+	return l.table.Request(slots.Claim{Request: e.id, Ref: e.ref, Weight: e.weight, WaitForSlot: e.waitForSlot}, now)
 }
 
 // pruneSources drops the sources of all adapters that no request waits for,
--- a/internal/entry/retries.go
+++ b/internal/entry/retries.go
@@ -28,10 +28,10 @@
 
 func newRetrier(limits retry.Limits) *retrier { return &retrier{budget: retry.NewBudget(limits)} }
 
-func (r *retrier) began(contract string) {
+func (r *retrier) recordRequest(contract string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.budget.Began(contract)
+	r.budget.RecordRequest(contract)
 }
 
 // waitForRetry waits for the backoff before a retry and reports whether the call may
@@ -47,7 +47,7 @@
 	case retry.ReasonTotalBudget:
 		retryRefusedTotal.Add(1)
 	}
-	if !decision.Again {
+	if !decision.Retry {
 		return false
 	}
 	retryCount.Add(1)
@@ -58,7 +58,7 @@
 	deadline, _ := ctx.Deadline()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.budget.Next(retry.Ended{
+	return r.budget.Next(retry.EndedAttempt{
 		Contract: c.contract, Attempt: attempt, Outcome: last, Idempotent: c.idempotent,
 		Now: time.Now(), Deadline: deadline, Jitter: rand.Float64(),
 	})
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -40,7 +40,7 @@
 // send sends the call to one server after another until one answers, one may have
 // run a call that must not run twice, or no further attempt is allowed.
 func (e *Entry) send(in *inbound, r *http.Request, c call) reply {
-	e.retries.began(c.contract)
+	e.retries.recordRequest(c.contract)
 	inDoubt := false
 	for attempt := 1; ; attempt++ {
 		server, ok := e.pickServer(&c)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -197,7 +197,7 @@
 	p.gateway = gateway.New(gateway.Options{
 		DataCentre: p.settings.DataCentre, AgentPort: strconv.Itoa(p.port(RoleAgent)),
 		RepeatRatio: p.settings.RepeatRatio, RepeatSlack: p.settings.RepeatSlack, RepeatWindow: p.settings.RepeatWindow(),
-		Heartbeat: p.settings.Heartbeat(), StopTimeout: p.settings.StopTimeout() - stopMargin, Newest: p.mesh.Newest,
+		Heartbeat: p.settings.Heartbeat(), StopTimeout: p.settings.StopTimeout() - stopMargin, ConfirmNewest: p.mesh.ConfirmNewest,
 	}, p.platform.Edge, p.mesh, p.log)
 	p.goroutines.Go(func() { p.gateway.Run(ctx) })
 	ready := http.NewServeMux()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -101,9 +101,9 @@
 	Heartbeat time.Duration
 	// StopTimeout is the maximum duration of a planned stop.
 	StopTimeout time.Duration
-	// Newest reports whether every change of the configuration that was acknowledged before the
-	// call is in force here. It is nil where changes are not made elsewhere.
-	Newest func(context.Context) bool
+	// ConfirmNewest reports whether every change of the configuration that was acknowledged before
+	// the call is in force here. It is nil where changes are not made elsewhere.
+	ConfirmNewest func(context.Context) bool
 }
 
 // Gateway is the HTTP handler that serves callers.
@@ -240,12 +240,12 @@
 // confirmNewest reports whether the configuration may be used to refuse a caller permanently.
 // Such a caller does not retry, although a newer configuration may allow its request.
 func (g *Gateway) confirmNewest(ctx context.Context) bool {
-	if g.options.Newest == nil {
+	if g.options.ConfirmNewest == nil {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, newestTimeout)
 	defer cancel()
-	return g.options.Newest(ctx)
+	return g.options.ConfirmNewest(ctx)
 }
 
 // newestTimeout limits the wait for confirmation that the configuration is the newest; it
--- a/internal/gateway/stale_config_test.go
+++ b/internal/gateway/stale_config_test.go
@@ -33,7 +33,7 @@
 	documents.Apply(document.State{Index: 1, Version: 1, Body: []byte("/old/")}, "test")
 	documents.Confirm()
 	m := mesh.New(mesh.Options{Self: mesh.Process{Address: "127.0.0.1:1", Entry: true}}, documents, zap.NewNop())
-	return New(Options{Newest: func(context.Context) bool { return newest(documents) }}, maxWaitEdge{}, m, zap.NewNop())
+	return New(Options{ConfirmNewest: func(context.Context) bool { return newest(documents) }}, maxWaitEdge{}, m, zap.NewNop())
 }
 
 // An entry that was partitioned or suspended lacks a change. A caller that it refuses
--- a/internal/limiter/loop.go
+++ b/internal/limiter/loop.go
@@ -73,7 +73,7 @@
 
 func (e requested) apply(l *quotaLoop, now time.Time) {
 	l.verdicts[e.request.ID] = e.verdict
-	l.perform(l.holder.Ask(now, e.request))
+	l.perform(l.holder.Request(now, e.request))
 }
 
 func (e cancelled) apply(l *quotaLoop, now time.Time) {
--- a/internal/mesh/confirm.go
+++ b/internal/mesh/confirm.go
@@ -66,13 +66,13 @@
 func (m *Mesh) newestWithin(ctx context.Context, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return m.Newest(ctx)
+	return m.ConfirmNewest(ctx)
 }
 
-// Newest reports whether every change that was acknowledged before the call is in force
+// ConfirmNewest reports whether every change that was acknowledged before the call is in force
 // here, and fetches missing changes. It returns false when no majority of the log can be
 // reached before ctx ends.
-func (m *Mesh) Newest(ctx context.Context) bool { return m.prover.prove(ctx) }
+func (m *Mesh) ConfirmNewest(ctx context.Context) bool { return m.prover.prove(ctx) }
 
 // proveOnce seeks a proof from the local part of the log or from other members. A member
 // that is cut off from the other members may still reach processes that reach them.
--- a/internal/mesh/members.go
+++ b/internal/mesh/members.go
@@ -72,7 +72,7 @@
 		if q.process.Started == 0 {
 			continue
 		}
-		view.Known = append(view.Known, founding.Seen{Process: processOf(q.process), Silent: now.Sub(q.lastHeard)})
+		view.Known = append(view.Known, founding.KnownProcess{Process: processOf(q.process), Silent: now.Sub(q.lastHeard)})
 	}
 	return view
 }
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -64,7 +64,7 @@
 	}
 	eventually(t, func() bool {
 		for _, n := range f.nodes {
-			if len(n.Known()) < len(f.nodes) || time.Since(time.Unix(0, n.options.Self.Started)) < founding.Settle {
+			if len(n.Known()) < len(f.nodes) || time.Since(time.Unix(0, n.options.Self.Started)) < founding.SettleTime {
 				return false
 			}
 		}
